--- a/corneltally/forwarding/forward_run_answer.cpp
+++ b/corneltally/forwarding/forward_run_answer.cpp
@@ -200,7 +200,7 @@
         return;
     }
     if (mCharged > 0 && mStatement == run_statement::not_run)
-        mContext.allowance.giveBack(mAccount, mCharged);
+        mContext.allowance.refund(mAccount, mCharged);
     mState = state::done;
     std::optional<milliseconds> wait;
     if (inRetryAfter)
--- a/corneltally/forwarding/front_service.cpp
+++ b/corneltally/forwarding/front_service.cpp
@@ -186,7 +186,7 @@
         names.push_back(account.name);
         mContext.allowance.configure(account.name, account.ratePerSecond, account.burst, now);
     }
-    mContext.allowance.keepOnly(names);
+    mContext.allowance.retainAccounts(names);
 }
 
 void front_service::endpointChanged(const std::string &inEndpoint)
@@ -221,8 +221,8 @@
                                      now);
         for (const fleet::answer_pause &seen : beat->pauses)
             mContext.book.notePause(seen.endpoint, seen.pause);
-        mContext.allowance.applyPeer(inReceived.instance, inReceived.incarnation, beat->accountUses,
-                                     now);
+        mContext.allowance.applyPeerTotals(inReceived.instance, inReceived.incarnation,
+                                           beat->accountUses, now);
     }
 }
 
@@ -257,7 +257,7 @@
 void front_service::paused()
 {
     mContext.book.forgetHearsay();
-    mContext.allowance.distrust(core::boot_clock::now());
+    mContext.allowance.resetAfterPause(core::boot_clock::now());
 }
 
 std::string front_service::dump() const
--- a/corneltally/limits/fleet_allowance.cpp
+++ b/corneltally/limits/fleet_allowance.cpp
@@ -28,7 +28,7 @@
     account.level = std::min(account.level, inBurst);
 }
 
-void fleet_allowance::keepOnly(const std::vector<std::string> &inAccounts)
+void fleet_allowance::retainAccounts(const std::vector<std::string> &inAccounts)
 {
     std::erase_if(mAccounts, [&](const auto &inEntry) {
         return std::ranges::find(inAccounts, inEntry.first) == inAccounts.end();
@@ -42,15 +42,16 @@
     };
     for (auto &[name, account] : mAccounts) {
         refill(account, inNow);
-        std::erase_if(account.silent, isGone);
+        std::erase_if(account.silentPeers, isGone);
     }
     std::erase_if(mPeers, [&](const auto &inEntry) { return isGone(inEntry.first); });
     for (const std::string &peer : inPeers)
         mPeers.try_emplace(peer);
 }
 
-void fleet_allowance::applyPeer(const std::string &inPeer, std::uint64_t inIncarnation,
-                                const std::vector<account_use> &inUses, core::time_point inNow)
+void fleet_allowance::applyPeerTotals(const std::string &inPeer, std::uint64_t inIncarnation,
+                                      const std::vector<account_use> &inUses,
+                                      core::time_point inNow)
 {
     for (auto &[name, account] : mAccounts)
         refill(account, inNow);
@@ -61,8 +62,8 @@
             total = 0;
     }
     // What an instance charged before it was first heard is not known to be recent.
-    const bool isFirst = !peer.heard && peer.totals.empty();
-    peer.heard = inNow;
+    const bool isFirst = !peer.lastHeard && peer.totals.empty();
+    peer.lastHeard = inNow;
     for (const account_use &use : inUses) {
         const auto found = mAccounts.find(use.account);
         double &known = peer.totals[use.account];
@@ -72,39 +73,39 @@
         if (found == mAccounts.end())
             continue;
         account_state &account = found->second;
-        double &assumed = account.assumed[inPeer];
-        account.level = std::min(account.burst, account.level + assumed - used);
-        assumed = 0;
+        double &reserved = account.reserved[inPeer];
+        account.level = std::min(account.burst, account.level + reserved - used);
+        reserved = 0;
     }
 }
 
 double fleet_allowance::ownBurst(const account_state &inAccount) const
 {
     const auto all = static_cast<double>(mPeers.size() + 1);
-    return inAccount.burst * (1 - static_cast<double>(inAccount.silent.size()) / all);
+    return inAccount.burst * (1 - static_cast<double>(inAccount.silentPeers.size()) / all);
 }
 
 /// An instance that falls silent may use what is left as this one may: each keeps its part, so that
 /// instances which are cut off from each other do not use the whole burst each.
-void fleet_allowance::reserveForSilent(account_state &ioAccount, core::time_point inNow)
+void fleet_allowance::reserveForSilentPeers(account_state &ioAccount, core::time_point inNow)
 {
     for (const auto &[name, peer] : mPeers) {
-        if (peer.heard && inNow - *peer.heard <= sSilence) {
-            ioAccount.silent.erase(name);
+        if (peer.lastHeard && inNow - *peer.lastHeard <= cPeerTimeout) {
+            ioAccount.silentPeers.erase(name);
             continue;
         }
-        const double parts = static_cast<double>(mPeers.size() + 1 - ioAccount.silent.size());
-        if (!ioAccount.silent.insert(name).second || parts < 2)
+        const double parts = static_cast<double>(mPeers.size() + 1 - ioAccount.silentPeers.size());
+        if (!ioAccount.silentPeers.insert(name).second || parts < 2)
             continue;
         const double part = std::max(0.0, ioAccount.level) / parts;
         ioAccount.level -= part;
-        ioAccount.assumed[name] += part;
+        ioAccount.reserved[name] += part;
     }
 }
 
 void fleet_allowance::refill(account_state &ioAccount, core::time_point inNow)
 {
-    reserveForSilent(ioAccount, inNow);
+    reserveForSilentPeers(ioAccount, inNow);
     const double elapsed = std::max(0.0, inSeconds(inNow - ioAccount.updated));
     ioAccount.updated = inNow;
     if (elapsed == 0)
@@ -113,13 +114,13 @@
     const double share = gained / static_cast<double>(mPeers.size() + 1);
     double kept = gained;
     for (const auto &[name, peer] : mPeers) {
-        if (peer.heard && inNow - *peer.heard <= sSilence)
+        if (peer.lastHeard && inNow - *peer.lastHeard <= cPeerTimeout)
             continue;
         kept -= share;
-        double &assumed = ioAccount.assumed[name];
+        double &reserved = ioAccount.reserved[name];
         // What an instance could not have used before its burst was full is not given back.
-        assumed
-            = std::min(assumed + share, ioAccount.burst / static_cast<double>(mPeers.size() + 1));
+        reserved
+            = std::min(reserved + share, ioAccount.burst / static_cast<double>(mPeers.size() + 1));
     }
     ioAccount.level = std::min(ownBurst(ioAccount), ioAccount.level + kept);
 }
@@ -143,7 +144,7 @@
     return true;
 }
 
-void fleet_allowance::giveBack(std::string_view inAccount, double inAmount)
+void fleet_allowance::refund(std::string_view inAccount, double inAmount)
 {
     const auto found = mAccounts.find(inAccount);
     if (found == mAccounts.end())
@@ -166,15 +167,15 @@
         std::chrono::duration<double>(std::max(0.0, missing / account.rate)));
 }
 
-void fleet_allowance::distrust(core::time_point inNow)
+void fleet_allowance::resetAfterPause(core::time_point inNow)
 {
     for (auto &[name, account] : mAccounts) {
         account.level = std::min(account.level, 0.0);
         account.updated = inNow;
-        account.assumed.clear();
+        account.reserved.clear();
     }
     for (auto &[name, peer] : mPeers)
-        peer.heard.reset();
+        peer.lastHeard.reset();
 }
 
 std::vector<account_use> fleet_allowance::ownUses() const
--- a/corneltally/limits/fleet_allowance.h
+++ b/corneltally/limits/fleet_allowance.h
@@ -30,33 +30,33 @@
 public:
     /// An instance that was not heard for this long is taken to use its share; heartbeats come five
     /// times a second.
-    static constexpr core::duration sSilence = std::chrono::milliseconds(700);
+    static constexpr core::duration cPeerTimeout = std::chrono::milliseconds(700);
 
     /// Sets the limits of an account; no limit if the rate is zero.
     void configure(const std::string &inAccount, double inRate, double inBurst,
                    core::time_point inNow);
 
     /// Forgets accounts that are not in the list.
-    void keepOnly(const std::vector<std::string> &inAccounts);
+    void retainAccounts(const std::vector<std::string> &inAccounts);
 
     /// The other instances that may be admitting requests.
     void setPeers(const std::vector<std::string> &inPeers, core::time_point inNow);
 
     /// Totals of another instance; the incarnation tells its starts apart.
-    void applyPeer(const std::string &inPeer, std::uint64_t inIncarnation,
-                   const std::vector<account_use> &inUses, core::time_point inNow);
+    void applyPeerTotals(const std::string &inPeer, std::uint64_t inIncarnation,
+                         const std::vector<account_use> &inUses, core::time_point inNow);
 
     /// Charges an amount if the allowance holds it.
     bool tryCharge(std::string_view inAccount, double inAmount, core::time_point inNow);
 
     /// Returns a charge for a request that did not run.
-    void giveBack(std::string_view inAccount, double inAmount);
+    void refund(std::string_view inAccount, double inAmount);
 
     /// Time until the amount would be admitted, if nobody else charges meanwhile.
     core::duration timeUntil(std::string_view inAccount, double inAmount, core::time_point inNow);
 
     /// Empties all allowances and counts all others as not heard, after a pause of the process.
-    void distrust(core::time_point inNow);
+    void resetAfterPause(core::time_point inNow);
 
     /// Totals of this instance.
     std::vector<account_use> ownUses() const;
@@ -65,7 +65,7 @@
     struct peer_state
     {
         std::uint64_t incarnation = 0;
-        std::optional<core::time_point> heard;
+        std::optional<core::time_point> lastHeard;
         std::map<std::string, double, std::less<>> totals;
     };
     struct account_state
@@ -76,14 +76,14 @@
         double ownTotal = 0;
         core::time_point updated;
         /// Taken from the level for instances that were not heard, by instance.
-        std::map<std::string, double, std::less<>> assumed;
+        std::map<std::string, double, std::less<>> reserved;
         /// Instances whose part of the level was taken since they fell silent.
-        std::set<std::string, std::less<>> silent;
+        std::set<std::string, std::less<>> silentPeers;
     };
 
     /// Burst less the parts of the instances that are not heard.
     double ownBurst(const account_state &inAccount) const;
-    void reserveForSilent(account_state &ioAccount, core::time_point inNow);
+    void reserveForSilentPeers(account_state &ioAccount, core::time_point inNow);
     void refill(account_state &ioAccount, core::time_point inNow);
 
     std::map<std::string, account_state, std::less<>> mAccounts;
--- a/tests/unit/limits_fleet_allowance_test.cpp
+++ b/tests/unit/limits_fleet_allowance_test.cpp
@@ -38,8 +38,8 @@
             now += 100ms;
             if (cut)
                 continue;
-            instances[0].applyPeer("b", 1, instances[1].ownUses(), now);
-            instances[1].applyPeer("a", 1, instances[0].ownUses(), now);
+            instances[0].applyPeerTotals("b", 1, instances[1].ownUses(), now);
+            instances[1].applyPeerTotals("a", 1, instances[0].ownUses(), now);
         }
     }
 
@@ -110,7 +110,7 @@
     two_instances fleet;
     CHECK(fleet.drain(0) == 0);
     fleet.advance(2s);
-    fleet.instances[0].distrust(fleet.now);
+    fleet.instances[0].resetAfterPause(fleet.now);
     CHECK(fleet.drain(0) == 0);
 }
 
@@ -135,7 +135,7 @@
     fleet.advance(2s);
     fleet.instances[0].configure("north", 100, 100, fleet.now);
     CHECK(fleet.drain(0) == Approx(100));
-    fleet.instances[0].giveBack("north", 50);
+    fleet.instances[0].refund("north", 50);
     CHECK(fleet.drain(0) == Approx(50));
 }
 
