--- a/corneltally/forwarding/forward_run.cpp
+++ b/corneltally/forwarding/forward_run.cpp
@@ -121,7 +121,7 @@
         }
         mCharged = amount;
     }
-    mContext.retries.arrived(mService->name, now);
+    mContext.retries.requestArrived(mService->name, now);
     mWork.service = mService->name;
     mWork.promptTokens = mTerms.promptTokens.value_or(0);
     mWork.answerTokens = mTerms.answerTokens;
@@ -352,7 +352,7 @@
     mWork.excluded.insert(mChoice.endpoint);
     next_step step = stepAfter(facts);
     if (step == next_step::try_other && inEnd != attempt_end::not_sent
-        && !mContext.retries.tryRepeat(mService->name, now)) {
+        && !mContext.retries.tryRetry(mService->name, now)) {
         attempt_facts last = facts;
         last.endpointsUsed = last.maxEndpoints;
         step = stepAfter(last);
--- a/corneltally/forwarding/forward_run_adapter.cpp
+++ b/corneltally/forwarding/forward_run_adapter.cpp
@@ -167,7 +167,7 @@
     if (!lost && !young && mLoadRetries == 0 && !target.adapters.arriving.contains(key))
         return false;
     if (mLoadRetries >= mContext.settings.maxLoadRetries || timeLeft() < cLeastAttemptTime
-        || !mContext.retries.tryRepeat(mService->name, now))
+        || !mContext.retries.tryRetry(mService->name, now))
         return false;
     ++mLoadRetries;
     mState = state::waiting;
--- a/corneltally/forwarding/front_service.cpp
+++ b/corneltally/forwarding/front_service.cpp
@@ -80,7 +80,7 @@
     ioRegistry.handle<fleet::instances_changed>(
         cName, [this](const fleet::instances_changed &inChanged) {
             mContext.allowance.setPeers(inChanged.members, core::boot_clock::now());
-            mContext.retries.setInstances(static_cast<int>(inChanged.members.size()) + 1);
+            mContext.retries.setInstanceCount(static_cast<int>(inChanged.members.size()) + 1);
             std::set<std::string> live{mOptions.instance};
             for (const auto &[name, domain] : inChanged.live)
                 live.insert(name);
--- a/corneltally/limits/fleet_retry_budget.cpp
+++ b/corneltally/limits/fleet_retry_budget.cpp
@@ -10,34 +10,34 @@
 {
     const auto found = mServices.find(inService);
     counts &target = found != mServices.end() ? found->second : mServices[std::string(inService)];
-    const long long slice = inNow.time_since_epoch() / (mLimits.window / sSlices);
-    const long long passed = std::min<long long>(slice - target.slice, sSlices);
+    const long long slice = inNow.time_since_epoch() / (mLimits.window / cSlices);
+    const long long passed = std::min<long long>(slice - target.slice, cSlices);
     for (long long step = 0; step < passed; ++step) {
-        const auto index = static_cast<std::size_t>((slice - step) % sSlices);
+        const auto index = static_cast<std::size_t>((slice - step) % cSlices);
         target.requests[index] = 0;
-        target.repeats[index] = 0;
+        target.retries[index] = 0;
     }
     target.slice = std::max(target.slice, slice);
     return target;
 }
 
-void fleet_retry_budget::arrived(std::string_view inService, core::time_point inNow)
+void fleet_retry_budget::requestArrived(std::string_view inService, core::time_point inNow)
 {
     counts &target = advance(inService, inNow);
-    ++target.requests[static_cast<std::size_t>(target.slice % sSlices)];
+    ++target.requests[static_cast<std::size_t>(target.slice % cSlices)];
 }
 
-bool fleet_retry_budget::tryRepeat(std::string_view inService, core::time_point inNow)
+bool fleet_retry_budget::tryRetry(std::string_view inService, core::time_point inNow)
 {
     counts &target = advance(inService, inNow);
     const auto sum = [](const auto &inCounts) {
         return std::accumulate(inCounts.begin(), inCounts.end(), 0.0);
     };
     const double bound = mLimits.usable
-        * (mLimits.ratio * sum(target.requests) + mLimits.slack / std::max(1, mInstances));
-    if (sum(target.repeats) + 1 > bound)
+        * (mLimits.ratio * sum(target.requests) + mLimits.slack / std::max(1, mInstanceCount));
+    if (sum(target.retries) + 1 > bound)
         return false;
-    ++target.repeats[static_cast<std::size_t>(target.slice % sSlices)];
+    ++target.retries[static_cast<std::size_t>(target.slice % cSlices)];
     return true;
 }
 
--- a/corneltally/limits/fleet_retry_budget.h
+++ b/corneltally/limits/fleet_retry_budget.h
@@ -31,29 +31,29 @@
     { }
 
     void setLimits(limits inLimits) { mLimits = inLimits; }
-    void setInstances(int inInstances) { mInstances = inInstances; }
+    void setInstanceCount(int inCount) { mInstanceCount = inCount; }
 
     /// A request for a service arrived.
-    void arrived(std::string_view inService, core::time_point inNow);
+    void requestArrived(std::string_view inService, core::time_point inNow);
 
     /// Takes one repeat at a service if the budget holds it.
-    bool tryRepeat(std::string_view inService, core::time_point inNow);
+    bool tryRetry(std::string_view inService, core::time_point inNow);
 
 private:
     /// Parts of the window that are counted and forgotten together.
-    static constexpr int sSlices = 10;
+    static constexpr int cSlices = 10;
 
     struct counts
     {
-        std::array<double, sSlices> requests{};
-        std::array<double, sSlices> repeats{};
+        std::array<double, cSlices> requests{};
+        std::array<double, cSlices> retries{};
         long long slice = 0;
     };
 
     counts &advance(std::string_view inService, core::time_point inNow);
 
     limits mLimits;
-    int mInstances = 1;
+    int mInstanceCount = 1;
     std::map<std::string, counts, std::less<>> mServices;
 };
 
--- a/tests/unit/limits_fleet_allowance_test.cpp
+++ b/tests/unit/limits_fleet_allowance_test.cpp
@@ -149,14 +149,14 @@
 TEST_CASE("repeats of all instances stay within the ratio and one common slack")
 {
     limits::fleet_retry_budget budget({.ratio = 0.2, .window = 10s, .slack = 40, .usable = 1});
-    budget.setInstances(4);
+    budget.setInstanceCount(4);
     core::time_point now = cStart;
     for (int request = 0; request < 100; ++request)
-        budget.arrived("shop", now);
-    int repeats = 0;
-    while (budget.tryRepeat("shop", now))
-        ++repeats;
-    CHECK(repeats == 30);
-    CHECK_FALSE(budget.tryRepeat("shop", now + 5s));
-    CHECK(budget.tryRepeat("shop", now + 11s));
+        budget.requestArrived("shop", now);
+    int retries = 0;
+    while (budget.tryRetry("shop", now))
+        ++retries;
+    CHECK(retries == 30);
+    CHECK_FALSE(budget.tryRetry("shop", now + 5s));
+    CHECK(budget.tryRetry("shop", now + 11s));
 }
