--- a/corneltally/entry/admission_service.cpp
+++ b/corneltally/entry/admission_service.cpp
@@ -271,13 +271,13 @@
         else
             report(inLimit->first, decision);
     }
-    if (actions.ask)
+    if (actions.loanRequest)
         mRegistry.post("peers",
-                       peer_send{actions.ask->lender,
+                       peer_send{actions.loanRequest->lender,
                                  loan_request{.account = inLimit->first,
-                                              .loanId = actions.ask->loanId,
-                                              .rate = actions.ask->rate,
-                                              .tokens = actions.ask->tokens}});
+                                              .loanId = actions.loanRequest->loanId,
+                                              .rate = actions.loanRequest->rate,
+                                              .tokens = actions.loanRequest->tokens}});
     scheduleWake(inLimit, actions.wakeAt);
 }
 
--- a/corneltally/limits/fleet_share.cpp
+++ b/corneltally/limits/fleet_share.cpp
@@ -42,14 +42,14 @@
     assert(inFraction >= 0 && inFraction <= 1);
     advance(inNow);
     if (inFraction > mFraction) {
-        if (mGrowTo != inFraction) {
-            mGrowTo = inFraction;
-            mGrowAt = inNow + cGrowDelay;
+        if (mPendingFraction != inFraction) {
+            mPendingFraction = inFraction;
+            mPendingFractionAt = inNow + cGrowDelay;
         }
         return;
     }
     mFraction = inFraction;
-    mGrowTo.reset();
+    mPendingFraction.reset();
     updateLimits();
 }
 
@@ -72,7 +72,7 @@
         return;
     }
     mBucket.give(mAccounting.close(inCharge, inCharged - inUsed), mTime);
-    observeRoom();
+    observeFreeCapacity();
 }
 
 void fleet_share::loanRequested(std::string_view inLender, std::uint64_t inLoanId,
@@ -98,7 +98,7 @@
     mBorrowed.push_back({.part = inLoan, .until = until});
     updateLimits();
     mBucket.give(inLoan.tokens, mTime);
-    observeRoom();
+    observeFreeCapacity();
     return true;
 }
 
@@ -212,7 +212,7 @@
     return std::max(0.0, mFleetBurst * mFraction - lent);
 }
 
-std::optional<core::time_point> fleet_share::nextBoundary() const
+std::optional<core::time_point> fleet_share::nextChangeTime() const
 {
     std::optional<core::time_point> next;
     const auto consider = [&](core::time_point inTime) {
@@ -221,8 +221,8 @@
     };
     if (!isActive())
         consider(mActiveAt);
-    if (mGrowTo)
-        consider(mGrowAt);
+    if (mPendingFraction)
+        consider(mPendingFractionAt);
     for (const lent_part &item : mLent)
         consider(item.until);
     for (const borrowed_part &item : mBorrowed)
@@ -233,7 +233,7 @@
 void fleet_share::advance(core::time_point inNow)
 {
     // Changes that fell due since the last call take effect at their own times, in order.
-    for (auto next = nextBoundary(); next && *next <= inNow; next = nextBoundary()) {
+    for (auto next = nextChangeTime(); next && *next <= inNow; next = nextChangeTime()) {
         step(*next);
         expire(*next);
     }
@@ -246,16 +246,16 @@
 void fleet_share::step(core::time_point inNow)
 {
     mTime = std::max(mTime, inNow);
-    observeRoom();
+    observeFreeCapacity();
 }
 
 void fleet_share::expire(core::time_point inNow)
 {
     std::erase_if(mLent, [&](const lent_part &inItem) { return inItem.until <= inNow; });
     std::erase_if(mBorrowed, [&](const borrowed_part &inItem) { return inItem.until <= inNow; });
-    if (mGrowTo && mGrowAt <= inNow) {
-        mFraction = *mGrowTo;
-        mGrowTo.reset();
+    if (mPendingFraction && mPendingFractionAt <= inNow) {
+        mFraction = *mPendingFraction;
+        mPendingFraction.reset();
     }
     updateLimits();
 }
@@ -269,12 +269,12 @@
         burst += item.part.burst;
     }
     mBucket.setLimits(rate, burst, mTime);
-    observeRoom();
+    observeFreeCapacity();
 }
 
-void fleet_share::observeRoom()
+void fleet_share::observeFreeCapacity()
 {
-    mAccounting.observeRoom(mBucket.burst() - mBucket.available(mTime));
+    mAccounting.observeFreeCapacity(mBucket.burst() - mBucket.available(mTime));
 }
 
 } // namespace corneltally::limits
--- a/corneltally/limits/fleet_share.h
+++ b/corneltally/limits/fleet_share.h
@@ -117,18 +117,18 @@
     bool isActive() const { return mTime >= mActiveAt; }
     double ownBurst() const;
     double ownRateNow() const;
-    std::optional<core::time_point> nextBoundary() const;
+    std::optional<core::time_point> nextChangeTime() const;
     void advance(core::time_point inNow);
     void step(core::time_point inNow);
     void expire(core::time_point inNow);
     void updateLimits();
-    void observeRoom();
+    void observeFreeCapacity();
 
     double mFleetRate;
     double mFleetBurst;
     double mFraction;
-    std::optional<double> mGrowTo;
-    core::time_point mGrowAt;
+    std::optional<double> mPendingFraction;
+    core::time_point mPendingFractionAt;
     core::time_point mActiveAt;
     core::time_point mTime;
     token_bucket mBucket;
--- a/corneltally/limits/shared_limiter.cpp
+++ b/corneltally/limits/shared_limiter.cpp
@@ -11,16 +11,16 @@
 /// Room for the error of the demand estimate.
 constexpr double cDemandMargin = 1.2;
 /// Seconds of its own demand that a lender keeps as content.
-constexpr double cKeptSeconds = 0.5;
+constexpr double cReservedSeconds = 0.5;
 
 } // namespace
 
 shared_limiter::shared_limiter(double inRate, double inBurst, double inFraction,
                                core::time_point inStart, std::uint64_t inFirstLoanId)
     : mShare(inRate, inBurst, inFraction, inStart)
-    , mNextForget(inStart + cMaxOpen)
+    , mNextExpiryAt(inStart + cMaxChargeAge)
     , mNextLoanId(inFirstLoanId)
-    , mNextAskAt(inStart)
+    , mNextRequestAt(inStart)
 { }
 
 void shared_limiter::setLimits(double inRate, double inBurst, core::time_point inNow)
@@ -39,13 +39,13 @@
         return;
     mPeers = std::move(inPeers);
     mNextPeer = 0;
-    mAskedInRound = 0;
+    mRequestsInRound = 0;
 }
 
 void shared_limiter::submit(std::string inRequestId, double inTokens, core::time_point inDeadline,
                             core::time_point inNow)
 {
-    forgetOldCharges(inNow);
+    expireCharges(inNow);
     if (inTokens > mShare.fleetBurst() + token_bucket::cTolerance) {
         mDecided.push_back(
             {.requestId = std::move(inRequestId), .outcome = limiter_outcome::too_large});
@@ -59,7 +59,7 @@
     }
     mWaiting.push_back({.id = std::move(inRequestId),
                         .tokens = inTokens,
-                        .giveUpAt = std::min(inDeadline, inNow + cMaxWait)});
+                        .deadline = std::min(inDeadline, inNow + cMaxWait)});
     mWaitingTokens += inTokens;
 }
 
@@ -72,24 +72,25 @@
         mWaitingTokens -= inRequest.tokens;
         return true;
     });
-    const auto found = mOpen.find(inRequestId);
-    if (found != mOpen.end())
-        settleOpen(found, 0, inNow);
+    const auto found = mOpenCharges.find(inRequestId);
+    if (found != mOpenCharges.end())
+        settleCharge(found, 0, inNow);
     return mWaiting.size() < before;
 }
 
 void shared_limiter::settle(std::string_view inRequestId, double inUsed, core::time_point inNow)
 {
-    const auto found = mOpen.find(inRequestId);
-    if (found != mOpen.end())
-        settleOpen(found, inUsed, inNow);
+    const auto found = mOpenCharges.find(inRequestId);
+    if (found != mOpenCharges.end())
+        settleCharge(found, inUsed, inNow);
 }
 
-void shared_limiter::settleOpen(std::map<std::string, open_charge, std::less<>>::iterator inOpen,
-                                double inUsed, core::time_point inNow)
+void shared_limiter::settleCharge(
+    std::map<std::string, open_charge, std::less<>>::iterator inCharge, double inUsed,
+    core::time_point inNow)
 {
-    mShare.settle(inOpen->second.charge, inOpen->second.tokens, inUsed, inNow);
-    mOpen.erase(inOpen);
+    mShare.settle(inCharge->second.charge, inCharge->second.tokens, inUsed, inNow);
+    mOpenCharges.erase(inCharge);
 }
 
 fleet_share::loan shared_limiter::lend(std::string_view inBorrower, std::uint64_t inLoanId,
@@ -100,7 +101,7 @@
     const double demand = mDemand.rate(inNow);
     const double spareRate
         = std::max(0.0, mShare.ownRate(inNow) + mShare.borrowedRate() - demand * cDemandMargin);
-    const double spareTokens = std::max(0.0, mShare.available(inNow) - demand * cKeptSeconds);
+    const double spareTokens = std::max(0.0, mShare.available(inNow) - demand * cReservedSeconds);
     return mShare
         .lend(inBorrower, inLoanId, std::min(inRate, spareRate), std::min(inTokens, spareTokens),
               inNow)
@@ -111,16 +112,16 @@
                                   const fleet_share::loan &inLoan, core::time_point inNow)
 {
     mShare.loanReceived(inLender, inLoanId, inLoan, inNow);
-    if (mAsked == inLoanId) {
-        mAsked.reset();
-        mNextAskAt = mAskedInRound < mPeers.size() ? inNow : inNow + cRoundPause;
+    if (mOpenLoanId == inLoanId) {
+        mOpenLoanId.reset();
+        mNextRequestAt = mRequestsInRound < mPeers.size() ? inNow : inNow + cRoundPause;
     }
 }
 
 void shared_limiter::paused(core::time_point inNow)
 {
     mShare.paused(inNow);
-    mAsked.reset();
+    mOpenLoanId.reset();
 }
 
 shared_limiter::actions shared_limiter::poll(core::time_point inNow)
@@ -128,9 +129,9 @@
     actions result;
     decide(inNow, result);
     if (mWaiting.empty())
-        mAskedInRound = 0;
+        mRequestsInRound = 0;
     else
-        seekLoan(inNow, result);
+        requestLoan(inNow, result);
     return result;
 }
 
@@ -153,12 +154,12 @@
     while (!mWaiting.empty()) {
         const waiting_request &head = mWaiting.front();
         const auto charge = mShare.tryCharge(head.tokens, inNow);
-        if (!charge && inNow < head.giveUpAt)
+        if (!charge && inNow < head.deadline)
             break;
         decision made{.requestId = head.id};
         if (charge) {
             made.outcome = limiter_outcome::admitted;
-            mOpen.insert_or_assign(
+            mOpenCharges.insert_or_assign(
                 head.id, open_charge{.charge = *charge, .tokens = head.tokens, .openedAt = inNow});
         } else {
             made.retryAfter = retryAfter(head.tokens, inNow);
@@ -173,50 +174,50 @@
     }
     const waiting_request &head = mWaiting.front();
     const core::duration refill = mShare.timeUntil(head.tokens, inNow);
-    ioActions.wakeAt = head.giveUpAt;
-    if (refill < head.giveUpAt - inNow)
+    ioActions.wakeAt = head.deadline;
+    if (refill < head.deadline - inNow)
         ioActions.wakeAt = inNow + refill;
 }
 
-void shared_limiter::seekLoan(core::time_point inNow, actions &ioActions)
+void shared_limiter::requestLoan(core::time_point inNow, actions &ioActions)
 {
     if (mPeers.empty())
         return;
-    if (mNextAskAt <= inNow) {
+    if (mNextRequestAt <= inNow) {
         // A whole round without enough: wait for the peers' shares to refill.
-        if (mAskedInRound >= mPeers.size() && mAsked) {
-            mAsked.reset();
-            mNextAskAt = inNow + cRoundPause;
-            mAskedInRound = 0;
+        if (mRequestsInRound >= mPeers.size() && mOpenLoanId) {
+            mOpenLoanId.reset();
+            mNextRequestAt = inNow + cRoundPause;
+            mRequestsInRound = 0;
         } else {
-            if (mAskedInRound >= mPeers.size())
-                mAskedInRound = 0;
+            if (mRequestsInRound >= mPeers.size())
+                mRequestsInRound = 0;
             const double missing = std::max(mWaitingTokens, mWaiting.front().tokens)
                 - std::max(0.0, mShare.available(inNow));
-            loan_ask ask;
-            ask.lender = mPeers[mNextPeer++ % mPeers.size()];
-            ask.loanId = mNextLoanId++;
-            ask.rate = std::max(0.0, mDemand.rate(inNow) * cDemandMargin - mShare.rate(inNow));
-            ask.tokens = std::clamp(missing, 0.0, mShare.fleetBurst());
-            mShare.loanRequested(ask.lender, ask.loanId, inNow);
-            mAsked = ask.loanId;
-            ++mAskedInRound;
-            mNextAskAt = inNow + cAskTimeout;
-            ioActions.ask = std::move(ask);
+            loan_request request;
+            request.lender = mPeers[mNextPeer++ % mPeers.size()];
+            request.loanId = mNextLoanId++;
+            request.rate = std::max(0.0, mDemand.rate(inNow) * cDemandMargin - mShare.rate(inNow));
+            request.tokens = std::clamp(missing, 0.0, mShare.fleetBurst());
+            mShare.loanRequested(request.lender, request.loanId, inNow);
+            mOpenLoanId = request.loanId;
+            ++mRequestsInRound;
+            mNextRequestAt = inNow + cLoanRequestTimeout;
+            ioActions.loanRequest = std::move(request);
         }
     }
-    ioActions.wakeAt = std::min(ioActions.wakeAt.value_or(mNextAskAt), mNextAskAt);
+    ioActions.wakeAt = std::min(ioActions.wakeAt.value_or(mNextRequestAt), mNextRequestAt);
 }
 
-void shared_limiter::forgetOldCharges(core::time_point inNow)
+void shared_limiter::expireCharges(core::time_point inNow)
 {
-    if (inNow < mNextForget)
+    if (inNow < mNextExpiryAt)
         return;
-    mNextForget = inNow + cMaxOpen;
-    for (auto item = mOpen.begin(); item != mOpen.end();) {
+    mNextExpiryAt = inNow + cMaxChargeAge;
+    for (auto item = mOpenCharges.begin(); item != mOpenCharges.end();) {
         const auto current = item++;
-        if (current->second.openedAt + cMaxOpen <= inNow)
-            settleOpen(current, current->second.tokens, inNow);
+        if (current->second.openedAt + cMaxChargeAge <= inNow)
+            settleCharge(current, current->second.tokens, inNow);
     }
 }
 
--- a/corneltally/limits/shared_limiter.h
+++ b/corneltally/limits/shared_limiter.h
@@ -33,13 +33,13 @@
     /// Longest wait for refill or a loan.
     static constexpr core::duration cMaxWait = std::chrono::milliseconds(250);
     /// After this time without an answer the next peer is asked; a few round trips between domains.
-    static constexpr core::duration cAskTimeout = std::chrono::milliseconds(20);
+    static constexpr core::duration cLoanRequestTimeout = std::chrono::milliseconds(20);
     /// Pause after all peers were asked once.
     static constexpr core::duration cRoundPause = std::chrono::milliseconds(40);
     /// Bounds memory and work per account; further requests are refused at once.
     static constexpr std::size_t cMaxWaiting = 4096;
     /// Charges that were never settled are forgotten after this time, longer than any request.
-    static constexpr core::duration cMaxOpen = std::chrono::hours(1);
+    static constexpr core::duration cMaxChargeAge = std::chrono::hours(1);
 
     struct decision
     {
@@ -52,20 +52,20 @@
     };
 
     /// A loan to ask a peer for.
-    struct loan_ask
+    struct loan_request
     {
         std::string lender;
         std::uint64_t loanId = 0;
         double rate = 0;
         double tokens = 0;
 
-        friend auto operator<=>(const loan_ask &, const loan_ask &) = default;
+        friend auto operator<=>(const loan_request &, const loan_request &) = default;
     };
 
     struct actions
     {
         std::vector<decision> decisions;
-        std::optional<loan_ask> ask;
+        std::optional<loan_request> loanRequest;
         /// When to poll again if nothing else happens.
         std::optional<core::time_point> wakeAt;
     };
@@ -108,7 +108,7 @@
     {
         std::string id;
         double tokens = 0;
-        core::time_point giveUpAt;
+        core::time_point deadline;
     };
     struct open_charge
     {
@@ -119,25 +119,25 @@
 
     core::duration retryAfter(double inTokens, core::time_point inNow);
     void decide(core::time_point inNow, actions &ioActions);
-    void seekLoan(core::time_point inNow, actions &ioActions);
-    void settleOpen(std::map<std::string, open_charge, std::less<>>::iterator inOpen, double inUsed,
-                    core::time_point inNow);
-    void forgetOldCharges(core::time_point inNow);
+    void requestLoan(core::time_point inNow, actions &ioActions);
+    void settleCharge(std::map<std::string, open_charge, std::less<>>::iterator inCharge,
+                      double inUsed, core::time_point inNow);
+    void expireCharges(core::time_point inNow);
 
     fleet_share mShare;
     demand_meter mDemand;
     std::deque<waiting_request> mWaiting;
     double mWaitingTokens = 0;
     std::vector<decision> mDecided;
-    std::map<std::string, open_charge, std::less<>> mOpen;
-    core::time_point mNextForget;
+    std::map<std::string, open_charge, std::less<>> mOpenCharges;
+    core::time_point mNextExpiryAt;
 
     std::vector<std::string> mPeers;
     std::size_t mNextPeer = 0;
-    std::size_t mAskedInRound = 0;
+    std::size_t mRequestsInRound = 0;
     std::uint64_t mNextLoanId;
-    std::optional<std::uint64_t> mAsked;
-    core::time_point mNextAskAt;
+    std::optional<std::uint64_t> mOpenLoanId;
+    core::time_point mNextRequestAt;
 };
 
 } // namespace corneltally::limits
--- a/corneltally/limits/token_accounting.cpp
+++ b/corneltally/limits/token_accounting.cpp
@@ -11,17 +11,17 @@
     const charge_id id = mNext++;
     mCharges.emplace_hint(
         mCharges.end(), id,
-        charge{.amount = inAmount, .leastRoom = std::numeric_limits<double>::infinity()});
+        charge{.amount = inAmount, .minFreeCapacity = std::numeric_limits<double>::infinity()});
     return id;
 }
 
-void token_accounting::observeRoom(double inRoom)
+void token_accounting::observeFreeCapacity(double inFreeCapacity)
 {
-    const double room = std::max(0.0, inRoom);
+    const double freeCapacity = std::max(0.0, inFreeCapacity);
     for (auto item = mCharges.rbegin(); item != mCharges.rend(); ++item) {
-        if (item->second.leastRoom <= room)
+        if (item->second.minFreeCapacity <= freeCapacity)
             break;
-        item->second.leastRoom = room;
+        item->second.minFreeCapacity = freeCapacity;
     }
 }
 
@@ -31,16 +31,16 @@
     if (found == mCharges.end())
         return 0;
     const double unused = std::clamp(inUnused, 0.0, found->second.amount);
-    const double refund = std::min(unused, found->second.leastRoom);
+    const double refund = std::min(unused, found->second.minFreeCapacity);
     // With the refund in the bucket from the start, the room since this charge would have been
     // smaller by the refund; the charges still open must not count that room again.
     for (auto item = std::next(found); item != mCharges.end(); ++item)
-        item->second.leastRoom -= refund;
-    const double room = found->second.leastRoom - refund;
+        item->second.minFreeCapacity -= refund;
+    const double freeCapacity = found->second.minFreeCapacity - refund;
     for (auto item = std::make_reverse_iterator(found); item != mCharges.rend(); ++item) {
-        if (item->second.leastRoom <= room)
+        if (item->second.minFreeCapacity <= freeCapacity)
             break;
-        item->second.leastRoom = room;
+        item->second.minFreeCapacity = freeCapacity;
     }
     mCharges.erase(found);
     return refund;
--- a/corneltally/limits/token_accounting.h
+++ b/corneltally/limits/token_accounting.h
@@ -21,7 +21,7 @@
 
     /// Records the free room (burst - content) of the bucket; call it after each refill and each
     /// change of content or limits.
-    void observeRoom(double inRoom);
+    void observeFreeCapacity(double inFreeCapacity);
 
     /// Ends a charge and returns how much of the unused part goes back to the bucket.
     double close(charge_id inCharge, double inUnused);
@@ -34,7 +34,7 @@
     {
         double amount = 0;
         /// Least room since the charge; never less than that of an older charge.
-        double leastRoom = 0;
+        double minFreeCapacity = 0;
     };
 
     charge_id mNext = 1;
--- a/tests/unit/limits_fleet_fixture.h
+++ b/tests/unit/limits_fleet_fixture.h
@@ -24,20 +24,20 @@
     duration length = 120s;
     double rate = 1000;
     double burst = 4000;
-    int holders = 4;
+    int instances = 4;
     bool loans = true;
     /// Probabilities of each message.
     double loss = 0;
     double duplication = 0;
     double longDelay = 0;
-    /// Mean time between faults of a holder; zero means none.
+    /// Mean time between faults of a instance; zero means none.
     duration pauseEvery{};
     duration restartEvery{};
-    /// Whether holder 5 joins and leaves the settings tree.
+    /// Whether instance 5 joins and leaves the settings tree.
     bool joins = false;
     /// Offered tokens relative to the rate, over the fleet.
     double load = 1;
-    /// Part of the load that arrives at one holder, which changes every few seconds.
+    /// Part of the load that arrives at one instance, which changes every few seconds.
     double skew = 0.7;
     /// Longest idle time between phases of load, in which buckets fill; zero means no idle times.
     duration idle{};
@@ -48,7 +48,7 @@
     double meanTokens = 150;
 };
 
-/// Several holders of one limit on a virtual clock, each with a boot clock of its own.
+/// Several instances of one limit on a virtual clock, each with a boot clock of its own.
 class fleet_simulation
 {
 public:
@@ -62,18 +62,18 @@
     explicit fleet_simulation(fleet_options inOptions)
         : mOptions(inOptions)
         , mRandom(inOptions.seed)
-        , mCurrent(static_cast<std::size_t>(inOptions.holders + (inOptions.joins ? 1 : 0)))
-        , mListed(static_cast<std::size_t>(inOptions.holders))
+        , mCurrent(static_cast<std::size_t>(inOptions.instances + (inOptions.joins ? 1 : 0)))
+        , mListed(static_cast<std::size_t>(inOptions.instances))
     {
-        for (std::size_t holder = 0; holder < mCurrent.size(); ++holder)
-            startProcess(holder);
+        for (std::size_t instance = 0; instance < mCurrent.size(); ++instance)
+            startProcess(instance);
     }
 
     void run()
     {
         scheduleArrival();
         scheduleFault(mOptions.pauseEvery, [this] { pauseOne(); });
-        scheduleFault(mOptions.restartEvery, [this] { startProcess(pick()); });
+        scheduleFault(mOptions.restartEvery, [this] { startProcess(pickListed()); });
         if (mOptions.joins)
             scheduleTreeChange();
         while (!mEvents.empty() && mEvents.begin()->first <= mOptions.length) {
@@ -116,7 +116,7 @@
 private:
     struct process
     {
-        std::size_t holder = 0;
+        std::size_t instance = 0;
         std::string name;
         duration clockOffset{};
         std::unique_ptr<limits::shared_limiter> limiter;
@@ -133,9 +133,9 @@
     {
         return core::time_point(mNow + inProcess.clockOffset);
     }
-    static std::string sName(std::size_t inHolder)
+    static std::string sName(std::size_t inInstance)
     {
-        return std::string("entry-").append(std::to_string(inHolder + 1));
+        return std::string("entry-").append(std::to_string(inInstance + 1));
     }
     double uniform() { return std::uniform_real_distribution<double>(0, 1)(mRandom); }
     duration between(duration inLow, duration inHigh)
@@ -143,11 +143,11 @@
         return duration(
             std::uniform_int_distribution<long long>(inLow.count(), inHigh.count())(mRandom));
     }
-    std::size_t pick()
+    std::size_t pickListed()
     {
         return std::uniform_int_distribution<std::size_t>(0, mListed - 1)(mRandom);
     }
-    /// Also holders that the tree does not list: callers may still be connected to them.
+    /// Also instances that the tree does not list: callers may still be connected to them.
     std::size_t pickAny()
     {
         return std::uniform_int_distribution<std::size_t>(0, mCurrent.size() - 1)(mRandom);
@@ -170,19 +170,19 @@
         poll(inTarget);
     }
 
-    void startProcess(std::size_t inHolder)
+    void startProcess(std::size_t inInstance)
     {
-        if (mCurrent[inHolder] && !mCurrent[inHolder]->paused)
-            mCurrent[inHolder]->alive = false;
+        if (mCurrent[inInstance] && !mCurrent[inInstance]->paused)
+            mCurrent[inInstance]->alive = false;
         auto next = std::make_shared<process>();
-        next->holder = inHolder;
-        next->name = sName(inHolder);
+        next->instance = inInstance;
+        next->name = sName(inInstance);
         next->clockOffset = between(1000s, 100'000s);
         next->limiter = std::make_unique<limits::shared_limiter>(
             mOptions.rate, mOptions.burst,
-            inHolder < mListed ? 1.0 / static_cast<double>(mListed) : 0.0, local(*next),
+            inInstance < mListed ? 1.0 / static_cast<double>(mListed) : 0.0, local(*next),
             static_cast<std::uint64_t>(mNow.count()) * 1000);
-        mCurrent[inHolder] = next;
+        mCurrent[inInstance] = next;
         setPeers(*next);
     }
 
@@ -190,7 +190,7 @@
     {
         std::vector<std::string> peers;
         for (std::size_t other = 0; mOptions.loans && other < mListed; ++other) {
-            if (other != ioProcess.holder)
+            if (other != ioProcess.instance)
                 peers.push_back(sName(other));
         }
         ioProcess.limiter->setPeers(std::move(peers));
@@ -208,7 +208,7 @@
 
     void pauseOne()
     {
-        const process_ptr target = mCurrent[pick()];
+        const process_ptr target = mCurrent[pickListed()];
         if (target->paused)
             return;
         target->paused = true;
@@ -219,7 +219,7 @@
         if (length > 2s && uniform() < 0.5)
             at(mNow + 2s, [this, target] {
                 if (target->paused)
-                    startProcess(target->holder);
+                    startProcess(target->instance);
             });
     }
 
@@ -230,7 +230,7 @@
         inTarget->paused = false;
         if (mNow - inTarget->pausedAt > 1s)
             inTarget->limiter->paused(local(*inTarget));
-        if (mCurrent[inTarget->holder] != inTarget)
+        if (mCurrent[inTarget->instance] != inTarget)
             at(mNow + between(0us, 1s), [inTarget] { inTarget->alive = false; });
         std::vector<std::function<void()>> deferred;
         deferred.swap(inTarget->deferred);
@@ -247,7 +247,7 @@
             mListed = mListed == mCurrent.size() ? mCurrent.size() - 1 : mCurrent.size();
             const double fraction = 1.0 / static_cast<double>(mListed);
             for (const process_ptr &target : mCurrent) {
-                const double own = target->holder < mListed ? fraction : 0.0;
+                const double own = target->instance < mListed ? fraction : 0.0;
                 at(mNow + between(0us, 3s), [this, target, own] {
                     inProcess(target, [this, target, own] {
                         target->limiter->setFraction(own, local(*target));
@@ -298,11 +298,12 @@
         limits::shared_limiter::actions actions = inTarget->limiter->poll(local(*inTarget));
         for (const auto &decision : actions.decisions)
             decided(inTarget, decision);
-        if (actions.ask) {
-            const auto ask = *actions.ask;
-            send(inTarget->holder, ask.lender, [this, inTarget, ask](const process_ptr &inLender) {
-                answerAsk(inTarget, inLender, ask);
-            });
+        if (actions.loanRequest) {
+            const auto request = *actions.loanRequest;
+            send(inTarget->instance, request.lender,
+                 [this, inTarget, request](const process_ptr &inLender) {
+                     answerLoanRequest(inTarget, inLender, request);
+                 });
         }
         if (actions.wakeAt)
             scheduleWake(
@@ -321,16 +322,16 @@
         });
     }
 
-    void answerAsk(const process_ptr &inBorrower, const process_ptr &inLender,
-                   const limits::shared_limiter::loan_ask &inAsk)
+    void answerLoanRequest(const process_ptr &inBorrower, const process_ptr &inLender,
+                           const limits::shared_limiter::loan_request &inRequest)
     {
-        const auto loan = inLender->limiter->lend(inBorrower->name, inAsk.loanId, inAsk.rate,
-                                                  inAsk.tokens, local(*inLender));
+        const auto loan = inLender->limiter->lend(
+            inBorrower->name, inRequest.loanId, inRequest.rate, inRequest.tokens, local(*inLender));
         loansGranted += loan.tokens > 0 || loan.rate > 0 ? 1 : 0;
         const std::string lender = inLender->name;
-        send(inLender->holder, inBorrower->name,
-             [this, lender, inAsk, loan](const process_ptr &inTarget) {
-                 inTarget->limiter->loanReceived(lender, inAsk.loanId, loan, local(*inTarget));
+        send(inLender->instance, inBorrower->name,
+             [this, lender, inRequest, loan](const process_ptr &inTarget) {
+                 inTarget->limiter->loanReceived(lender, inRequest.loanId, loan, local(*inTarget));
              });
     }
 
@@ -345,7 +346,7 @@
                 = uniform() < mOptions.longDelay ? between(2ms, 4s) : between(500us, 2ms);
             at(mNow + delay, [this, inFrom, inTo, inTask] {
                 for (const process_ptr &target : mCurrent) {
-                    if (target->name == inTo && target->holder != inFrom)
+                    if (target->name == inTo && target->instance != inFrom)
                         inProcess(target, [inTask, target] { inTask(target); });
                 }
             });
--- a/tests/unit/limits_shared_limiter_test.cpp
+++ b/tests/unit/limits_shared_limiter_test.cpp
@@ -85,23 +85,23 @@
     limiter.setPeers({"entry-2", "entry-3"});
     limiter.submit("r1", 1500, cFull + 10s, cFull);
     const auto first = limiter.poll(cFull);
-    REQUIRE(first.ask);
-    CHECK(first.ask->lender == "entry-2");
-    CHECK(first.ask->tokens == Approx(500));
-    CHECK_FALSE(limiter.poll(cFull + 1ms).ask);
+    REQUIRE(first.loanRequest);
+    CHECK(first.loanRequest->lender == "entry-2");
+    CHECK(first.loanRequest->tokens == Approx(500));
+    CHECK_FALSE(limiter.poll(cFull + 1ms).loanRequest);
 
     // An empty answer: the next one is asked at once.
-    limiter.loanReceived("entry-2", first.ask->loanId, {}, cFull + 2ms);
+    limiter.loanReceived("entry-2", first.loanRequest->loanId, {}, cFull + 2ms);
     const auto second = limiter.poll(cFull + 2ms);
-    REQUIRE(second.ask);
-    CHECK(second.ask->lender == "entry-3");
-    CHECK(second.ask->loanId != first.ask->loanId);
-    limiter.loanReceived("entry-3", second.ask->loanId,
+    REQUIRE(second.loanRequest);
+    CHECK(second.loanRequest->lender == "entry-3");
+    CHECK(second.loanRequest->loanId != first.loanRequest->loanId);
+    limiter.loanReceived("entry-3", second.loanRequest->loanId,
                          {.rate = 10, .burst = 600, .tokens = 600, .validFor = 2s}, cFull + 4ms);
     const auto last = limiter.poll(cFull + 4ms);
     REQUIRE(last.decisions.size() == 1);
     CHECK(last.decisions[0].outcome == limiter_outcome::admitted);
-    CHECK_FALSE(last.ask);
+    CHECK_FALSE(last.loanRequest);
 }
 
 TEST_CASE("a peer that does not answer does not end the search")
@@ -111,8 +111,8 @@
     limiter.submit("r1", 1500, cFull + 10s, cFull);
     std::vector<std::string> asked;
     for (core::time_point now = cFull; now < cFull + 200ms; now += 1ms) {
-        if (const auto ask = limiter.poll(now).ask)
-            asked.push_back(ask->lender);
+        if (const auto request = limiter.poll(now).loanRequest)
+            asked.push_back(request->lender);
     }
     CHECK(asked.size() >= 4);
     CHECK(asked.size() <= 8);
