--- a/corneltally/limits/demand_meter.h
+++ b/corneltally/limits/demand_meter.h
@@ -7,11 +7,13 @@
 
 namespace corneltally::limits {
 
-/// Recent demand in tokens per second: an exponentially weighted average over about cWindow.
+/// Recent demand in tokens per second: an exponentially weighted moving average with the time
+/// constant cWindow.
 class demand_meter
 {
 public:
-    /// As long as a loan, since demand decides how much is lent or borrowed for that long.
+    /// Equals the duration of a loan, because the demand decides how much is lent or borrowed for
+    /// that time.
     static constexpr std::chrono::duration<double> cWindow{2.0};
 
     void add(double inTokens, core::time_point inNow)
--- a/corneltally/limits/fleet_allowance.cpp
+++ b/corneltally/limits/fleet_allowance.cpp
@@ -18,7 +18,8 @@
 {
     const auto [found, isNew] = mAccounts.try_emplace(inAccount);
     account_state &account = found->second;
-    // A new account starts empty: nobody knows what was admitted before this instance started.
+    // A new account starts empty because this instance does not know what the others admitted
+    // before it started.
     if (isNew)
         account.updated = inNow;
     else
@@ -61,13 +62,13 @@
         for (auto &[account, total] : peer.totals)
             total = 0;
     }
-    // What an instance charged before it was first heard is not known to be recent.
+    // The first totals of a peer only set the baseline: its earlier charges may be old.
     const bool isFirst = !peer.lastHeard && peer.totals.empty();
     peer.lastHeard = inNow;
     for (const account_use &use : inUses) {
         const auto found = mAccounts.find(use.account);
         double &known = peer.totals[use.account];
-        // Negative if the instance gave back more than it charged.
+        // Negative if the peer refunded more than it charged since its last totals.
         const double used = isFirst ? 0 : use.amount - known;
         known = use.amount;
         if (found == mAccounts.end())
@@ -85,8 +86,8 @@
     return inAccount.burst * (1 - static_cast<double>(inAccount.silentPeers.size()) / all);
 }
 
-/// An instance that falls silent may use what is left as this one may: each keeps its part, so that
-/// instances which are cut off from each other do not use the whole burst each.
+/// Reserves an equal part of the remaining level for each peer that became silent. Instances that
+/// are cut off from each other then share the remaining burst instead of each spending all of it.
 void fleet_allowance::reserveForSilentPeers(account_state &ioAccount, core::time_point inNow)
 {
     for (const auto &[name, peer] : mPeers) {
@@ -118,7 +119,7 @@
             continue;
         kept -= share;
         double &reserved = ioAccount.reserved[name];
-        // What an instance could not have used before its burst was full is not given back.
+        // A silent peer accumulates at most its part of the burst; the excess is lost.
         reserved
             = std::min(reserved + share, ioAccount.burst / static_cast<double>(mPeers.size() + 1));
     }
@@ -136,7 +137,7 @@
         return true;
     }
     refill(account, inNow);
-    // A request that is larger than the burst passes when the allowance is full.
+    // A request larger than the burst is admitted when the allowance is full.
     if (account.level < std::min(inAmount, ownBurst(account)))
         return false;
     account.level -= inAmount;
--- a/corneltally/limits/fleet_allowance.h
+++ b/corneltally/limits/fleet_allowance.h
@@ -12,7 +12,7 @@
 
 namespace corneltally::limits {
 
-/// What one instance has charged to an account since its start.
+/// Total that one instance has charged to an account since its start.
 struct account_use
 {
     std::string account;
@@ -21,44 +21,44 @@
     friend auto operator<=>(const account_use &, const account_use &) = default;
 };
 
-/// Rates of client accounts over all instances. Each instance charges what it admits, tells the
-/// others its totals several times a second, and subtracts theirs. An instance that is not heard is
-/// taken to use its equal share, so that the sum stays within the rate when instances lose each
-/// other.
+/// Limits the rate of each client account over all instances. Each instance charges what it admits,
+/// sends its totals to its peers several times a second, and subtracts theirs from its allowance. A
+/// silent peer is assumed to use its equal share, so that the sum stays within the rate while
+/// instances cannot reach each other.
 class fleet_allowance
 {
 public:
-    /// An instance that was not heard for this long is taken to use its share; heartbeats come five
-    /// times a second.
+    /// A peer without a heartbeat for this long counts as silent; heartbeats are sent five times a
+    /// second.
     static constexpr core::duration cPeerTimeout = std::chrono::milliseconds(700);
 
-    /// Sets the limits of an account; no limit if the rate is zero.
+    /// Sets the limits of an account; a rate of zero means no limit.
     void configure(const std::string &inAccount, double inRate, double inBurst,
                    core::time_point inNow);
 
-    /// Forgets accounts that are not in the list.
+    /// Removes the accounts that are not in the list.
     void retainAccounts(const std::vector<std::string> &inAccounts);
 
-    /// The other instances that may be admitting requests.
+    /// Sets the other instances that may be admitting requests.
     void setPeers(const std::vector<std::string> &inPeers, core::time_point inNow);
 
-    /// Totals of another instance; the incarnation tells its starts apart.
+    /// Applies the totals of a peer; they restart from zero with a new incarnation.
     void applyPeerTotals(const std::string &inPeer, std::uint64_t inIncarnation,
                          const std::vector<account_use> &inUses, core::time_point inNow);
 
-    /// Charges an amount if the allowance holds it.
+    /// Charges an amount if the allowance covers it.
     bool tryCharge(std::string_view inAccount, double inAmount, core::time_point inNow);
 
-    /// Returns a charge for a request that did not run.
+    /// Refunds the charge of a request that did not run.
     void refund(std::string_view inAccount, double inAmount);
 
-    /// Time until the amount would be admitted, if nobody else charges meanwhile.
+    /// Time until the amount is admitted if there are no other charges before.
     core::duration timeUntil(std::string_view inAccount, double inAmount, core::time_point inNow);
 
-    /// Empties all allowances and counts all others as not heard, after a pause of the process.
+    /// Empties all allowances and marks all peers as silent, after a pause of the process.
     void resetAfterPause(core::time_point inNow);
 
-    /// Totals of this instance.
+    /// Totals of this instance, to be sent to its peers.
     std::vector<account_use> ownUses() const;
 
 private:
@@ -75,13 +75,13 @@
         double level = 0;
         double ownTotal = 0;
         core::time_point updated;
-        /// Taken from the level for instances that were not heard, by instance.
+        /// Amount withheld from the level for each silent peer.
         std::map<std::string, double, std::less<>> reserved;
-        /// Instances whose part of the level was taken since they fell silent.
+        /// Peers for which a part of the level was reserved when they became silent.
         std::set<std::string, std::less<>> silentPeers;
     };
 
-    /// Burst less the parts of the instances that are not heard.
+    /// Burst without the parts of silent peers.
     double ownBurst(const account_state &inAccount) const;
     void reserveForSilentPeers(account_state &ioAccount, core::time_point inNow);
     void refill(account_state &ioAccount, core::time_point inNow);
--- a/corneltally/limits/fleet_retry_budget.h
+++ b/corneltally/limits/fleet_retry_budget.h
@@ -9,20 +9,21 @@
 
 namespace corneltally::limits {
 
-/// Bounds how often requests are sent again. Each instance may repeat a share of its own requests
-/// and an equal part of the allowance that all instances have together, so that the sum keeps the
-/// bound without messages.
+/// Limits retries over all instances. Each instance may retry a fraction of its own requests and
+/// use an equal part of the fleet-wide slack, so that the sum stays within the limit without
+/// messages between instances.
 class fleet_retry_budget
 {
 public:
     struct limits
     {
-        /// Repeats for each request.
+        /// Retries per request.
         double ratio = 0.2;
         core::duration window = std::chrono::seconds(10);
-        /// Repeats in a window that all instances have besides.
+        /// Additional retries per window over all instances.
         double slack = 0;
-        /// Part of the bound that is used; the rest covers the edges of the windows.
+        /// Fraction of the limit that is used. The rest covers windows that are not aligned with
+        /// the slices.
         double usable = 0.8;
     };
 
@@ -33,14 +34,14 @@
     void setLimits(limits inLimits) { mLimits = inLimits; }
     void setInstanceCount(int inCount) { mInstanceCount = inCount; }
 
-    /// A request for a service arrived.
+    /// Counts a request for a service.
     void requestArrived(std::string_view inService, core::time_point inNow);
 
-    /// Takes one repeat at a service if the budget holds it.
+    /// Counts a retry at a service if the budget covers it.
     bool tryRetry(std::string_view inService, core::time_point inNow);
 
 private:
-    /// Parts of the window that are counted and forgotten together.
+    /// Parts of the window; each is counted and dropped as a whole.
     static constexpr int cSlices = 10;
 
     struct counts
--- a/corneltally/limits/fleet_share.cpp
+++ b/corneltally/limits/fleet_share.cpp
@@ -11,7 +11,7 @@
 bool isUsable(const fleet_share::loan &inLoan, double inFleetRate, double inFleetBurst)
 {
     constexpr double cTolerance = token_bucket::cTolerance;
-    // Comparisons with NaN are false, so that damaged numbers are refused.
+    // Comparisons with NaN are false, so NaN is rejected too.
     return inLoan.rate >= 0 && inLoan.rate <= inFleetRate + cTolerance && inLoan.tokens >= 0
         && inLoan.tokens <= inLoan.burst + cTolerance && inLoan.burst <= inFleetBurst + cTolerance;
 }
@@ -116,7 +116,7 @@
     loan part;
     part.rate = std::clamp(inMaxRate, 0.0, ownRateNow());
     part.tokens = std::clamp(inMaxTokens, 0.0, std::min(content, ownBurst()));
-    // The empty part of the bucket goes along with the rate, since it is the rate that fills it.
+    // The borrower also gets the part of the free capacity that the lent rate would have filled.
     const double empty = std::max(0.0, mBucket.burst() - content);
     const double ofRate = part.rate > 0 ? part.rate / ownRateNow() : 0;
     part.burst = std::min(ownBurst(), part.tokens + empty * ofRate);
@@ -151,7 +151,7 @@
 core::duration fleet_share::timeUntil(double inAmount, core::time_point inNow)
 {
     advance(inNow);
-    // Before the base share is active, the bucket itself cannot tell when it starts to fill.
+    // Until the base share is active the rate of the bucket does not include it.
     if (!isActive() && inAmount > mBucket.available(mTime)) {
         const double rate = mFleetRate * mFraction;
         if (rate <= 0)
@@ -232,7 +232,7 @@
 
 void fleet_share::advance(core::time_point inNow)
 {
-    // Changes that fell due since the last call take effect at their own times, in order.
+    // Applies the changes that fell due since the last call in order, each at its own time.
     for (auto next = nextChangeTime(); next && *next <= inNow; next = nextChangeTime()) {
         step(*next);
         expire(*next);
--- a/corneltally/limits/fleet_share.h
+++ b/corneltally/limits/fleet_share.h
@@ -18,16 +18,16 @@
 /// This instance's part of a fleet-wide rate and burst: a base share, minus what it lent to peers,
 /// plus what it borrowed.
 ///
-/// Over the fleet, the rates and bursts in use (with loans on their way) never exceed the limits of
-/// the account, and content only moves between buckets. So the fleet spends at most
-/// rate x window + burst in any window:
-/// - A lender subtracts rate, burst and content before it answers, and has rate and burst back
-///   cLoanDuration after the grant; the borrower stops using them cLoanDuration after its request,
+/// Over the fleet, the sum of all rates and bursts in use, including loans in transit, never
+/// exceeds the limits of the account, and tokens only move between buckets. The fleet therefore
+/// spends at most rate x window + burst in any window:
+/// - A lender subtracts rate, burst and tokens before it answers, and gets rate and burst back
+///   cLoanDuration after the grant. The borrower stops using them cLoanDuration after its request,
 ///   which is never later. Clocks of different machines are not compared.
-/// - A process may have lent before it was restarted. So its base share is empty and does not
-/// refill
-///   for cLoanDuration after the start.
-/// - A process that was paused may have been replaced; the same delay lets it learn so first.
+/// - A process may have lent before it was restarted. Its base share therefore starts empty and
+///   does not refill for cLoanDuration after the start.
+/// - A process that was paused may have been replaced. The same delay applies, so that it learns of
+///   its replacement first.
 /// - Instances see a change of their number within 3 s of each other. A share shrinks at once, and
 ///   grows only after all others have shrunk and their loans have ended.
 class fleet_share
@@ -41,14 +41,15 @@
     {
         double rate = 0;
         double burst = 0;
-        /// Content of the bucket, at most the burst of the loan.
+        /// Tokens taken from the lender's bucket, at most the burst of the loan.
         double tokens = 0;
         core::duration validFor{};
 
         friend auto operator<=>(const loan &, const loan &) = default;
     };
 
-    /// Fleet-wide limits and this instance's fraction of them, known at the start of the process.
+    /// Takes the fleet-wide limits and this instance's fraction of them at the start of the
+    /// process.
     fleet_share(double inRate, double inBurst, double inFraction, core::time_point inStart);
 
     /// Changes the fleet-wide limits at once.
@@ -57,33 +58,35 @@
     /// Changes the fraction: at once if it shrinks, after cGrowDelay if it grows.
     void setFraction(double inFraction, core::time_point inNow);
 
-    /// Charges the amount if the share holds it.
+    /// Charges the amount if the share covers it.
     std::optional<token_accounting::charge_id> tryCharge(double inAmount, core::time_point inNow);
 
-    /// Ends a charge and gives back what was not used, as far as the limits allow.
+    /// Ends a charge and refunds the unused part as far as the limits allow. If more was used than
+    /// charged, charges the difference.
     void settle(token_accounting::charge_id inCharge, double inCharged, double inUsed,
                 core::time_point inNow);
 
-    /// Notes that a loan is asked for now; the loan ends cLoanDuration later at the latest.
+    /// Records that a loan is requested now; the loan ends at most cLoanDuration later.
     void loanRequested(std::string_view inLender, std::uint64_t inLoanId, core::time_point inNow);
 
-    /// Takes up a loan. Returns false if it was not asked for, was received before or has ended.
+    /// Adds a loan to the share. Returns false if it was not requested, was received before, has
+    /// ended or has invalid values.
     bool loanReceived(std::string_view inLender, std::uint64_t inLoanId, const loan &inLoan,
                       core::time_point inNow);
 
-    /// Lends at most the given rate and content. None if the loan was granted before or there is
-    /// nothing to lend.
+    /// Lends at most the given rate and tokens. Returns nothing if the loan was granted before or
+    /// there is nothing to lend.
     std::optional<loan> lend(std::string_view inBorrower, std::uint64_t inLoanId, double inMaxRate,
                              double inMaxTokens, core::time_point inNow);
 
-    /// The process did not run for longer than the kernel's limit.
+    /// Resets the share after the process did not run for longer than the kernel's limit.
     void paused(core::time_point inNow);
 
-    /// Content of the bucket.
+    /// Tokens in the bucket.
     double available(core::time_point inNow);
     core::duration timeUntil(double inAmount, core::time_point inNow);
 
-    /// Rate and burst now usable here.
+    /// Rate and burst that this instance can use now.
     double rate(core::time_point inNow);
     double burst(core::time_point inNow);
     /// Rate of the base share that is not lent.
--- a/corneltally/limits/retry_budget.h
+++ b/corneltally/limits/retry_budget.h
@@ -7,14 +7,14 @@
 
 namespace corneltally::limits {
 
-/// Bounds retries to a fraction of the requests, so that retries cannot multiply an overload.
+/// Limits retries to a fraction of the requests, so that retries do not amplify an overload.
 class retry_budget
 {
 public:
     /// Retries per request.
     static constexpr double cRatio = 0.1;
-    /// Retries a second that are allowed without requests; otherwise the first failure after an
-    /// idle time could not be retried.
+    /// Retries per second that are allowed without requests. Without them, the first failure after
+    /// an idle time could not be retried.
     static constexpr double cMinimumRate = 0.5;
     static constexpr double cBurst = 10;
 
@@ -22,10 +22,10 @@
         : mBucket(cMinimumRate, cBurst, inNow)
     { }
 
-    /// Counts a first try.
+    /// Counts a first attempt.
     void requestStarted(core::time_point inNow) { mBucket.give(cRatio, inNow); }
 
-    /// Whether a retry may be made now; if so, it is counted.
+    /// Counts a retry if the budget covers it; returns whether it does.
     bool tryRetry(core::time_point inNow) { return mBucket.tryTake(1, inNow); }
 
     double available(core::time_point inNow) { return mBucket.available(inNow); }
--- a/corneltally/limits/shared_limiter.cpp
+++ b/corneltally/limits/shared_limiter.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// Room for the error of the demand estimate.
+/// Safety factor for errors of the demand estimate.
 constexpr double cDemandMargin = 1.2;
-/// Seconds of its own demand that a lender keeps as content.
+/// Seconds of its own demand for which a lender keeps tokens.
 constexpr double cReservedSeconds = 0.5;
 
 } // namespace
@@ -184,7 +184,7 @@
     if (mPeers.empty())
         return;
     if (mNextRequestAt <= inNow) {
-        // A whole round without enough: wait for the peers' shares to refill.
+        // All peers were asked and the loans were not enough: wait until their shares refill.
         if (mRequestsInRound >= mPeers.size() && mOpenLoanId) {
             mOpenLoanId.reset();
             mNextRequestAt = inNow + cRoundPause;
--- a/corneltally/limits/shared_limiter.h
+++ b/corneltally/limits/shared_limiter.h
@@ -16,42 +16,44 @@
 
 namespace corneltally::limits {
 
-/// How a request for tokens was decided.
+/// Outcome of a request for tokens.
 enum class limiter_outcome : std::uint8_t {
     admitted,
-    /// Neither refill nor loans were enough in time.
+    /// Neither the refill nor loans covered the request in time.
     refused,
-    /// More than the burst of the account; waiting does not help.
+    /// Exceeds the burst of the account, so that no wait is long enough.
     too_large,
 };
 
-/// Decides requests for tokens of one fleet-wide limit: charges the share of this instance, lets
-/// requests wait in order of arrival, and borrows from peers while they wait.
+/// Admits or refuses requests for tokens of one fleet-wide limit: charges the share of this
+/// instance, queues requests in order of arrival, and borrows from peers while requests wait.
 class shared_limiter
 {
 public:
-    /// Longest wait for refill or a loan.
+    /// Longest wait for the refill or a loan.
     static constexpr core::duration cMaxWait = std::chrono::milliseconds(250);
-    /// After this time without an answer the next peer is asked; a few round trips between domains.
+    /// Time without an answer after which the next peer is asked: a few round trips between failure
+    /// domains.
     static constexpr core::duration cLoanRequestTimeout = std::chrono::milliseconds(20);
-    /// Pause after all peers were asked once.
+    /// Pause after all peers have been asked once.
     static constexpr core::duration cRoundPause = std::chrono::milliseconds(40);
-    /// Bounds memory and work per account; further requests are refused at once.
+    /// Limit of waiting requests, which bounds memory and work per account. Further requests are
+    /// refused at once.
     static constexpr std::size_t cMaxWaiting = 4096;
-    /// Charges that were never settled are forgotten after this time, longer than any request.
+    /// Age at which charges that were never settled count as fully used; longer than any request.
     static constexpr core::duration cMaxChargeAge = std::chrono::hours(1);
 
     struct decision
     {
         std::string requestId;
         limiter_outcome outcome = limiter_outcome::refused;
-        /// When a refused request can expect tokens.
+        /// Time until a refused request can expect tokens.
         core::duration retryAfter{};
 
         friend auto operator<=>(const decision &, const decision &) = default;
     };
 
-    /// A loan to ask a peer for.
+    /// A request for a loan, to be sent to the lender.
     struct loan_request
     {
         std::string lender;
@@ -66,37 +68,38 @@
     {
         std::vector<decision> decisions;
         std::optional<loan_request> loanRequest;
-        /// When to poll again if nothing else happens.
+        /// Time of the next poll if nothing else happens before.
         std::optional<core::time_point> wakeAt;
     };
 
-    /// Loan ids count up from inFirstLoanId; it must differ between starts of an instance, so that
-    /// a late answer to an earlier process is not taken for an answer to this one.
+    /// Loan ids count up from inFirstLoanId. It must differ between starts of an instance, so that
+    /// a late answer to an earlier process does not match a request of this one.
     shared_limiter(double inRate, double inBurst, double inFraction, core::time_point inStart,
                    std::uint64_t inFirstLoanId);
 
     void setLimits(double inRate, double inBurst, core::time_point inNow);
     void setFraction(double inFraction, core::time_point inNow);
-    /// Live peers, without this instance.
+    /// Sets the live peers, without this instance.
     void setPeers(std::vector<std::string> inPeers);
 
     void submit(std::string inRequestId, double inTokens, core::time_point inDeadline,
                 core::time_point inNow);
-    /// Removes a waiting request, which then gets no decision, or gives back the whole charge of an
+    /// Removes a waiting request, which then gets no decision, or refunds the whole charge of an
     /// admitted one. Returns whether the request was waiting.
     bool cancel(std::string_view inRequestId, core::time_point inNow);
-    /// Gives back what an admitted request did not use.
+    /// Settles the charge of an admitted request with the tokens that it used.
     void settle(std::string_view inRequestId, double inUsed, core::time_point inNow);
 
-    /// Answer to a peer's request; an empty loan if there is nothing to lend.
+    /// Answers a peer's loan request; the loan is empty if there is nothing to lend.
     fleet_share::loan lend(std::string_view inBorrower, std::uint64_t inLoanId, double inRate,
                            double inTokens, core::time_point inNow);
     void loanReceived(std::string_view inLender, std::uint64_t inLoanId,
                       const fleet_share::loan &inLoan, core::time_point inNow);
 
+    /// Resets the share after a pause of the process.
     void paused(core::time_point inNow);
 
-    /// Decides what can be decided now.
+    /// Decides the requests that can be decided now, and requests a loan if others wait.
     actions poll(core::time_point inNow);
 
     std::size_t waiting() const { return mWaiting.size(); }
--- a/corneltally/limits/token_accounting.cpp
+++ b/corneltally/limits/token_accounting.cpp
@@ -32,8 +32,8 @@
         return 0;
     const double unused = std::clamp(inUnused, 0.0, found->second.amount);
     const double refund = std::min(unused, found->second.minFreeCapacity);
-    // With the refund in the bucket from the start, the room since this charge would have been
-    // smaller by the refund; the charges still open must not count that room again.
+    // If the refund had never been charged, the free capacity since this charge would have been
+    // smaller by the refund. The charges still open must not use that capacity again.
     for (auto item = std::next(found); item != mCharges.end(); ++item)
         item->second.minFreeCapacity -= refund;
     const double freeCapacity = found->second.minFreeCapacity - refund;
--- a/corneltally/limits/token_accounting.h
+++ b/corneltally/limits/token_accounting.h
@@ -5,12 +5,12 @@
 
 namespace corneltally::limits {
 
-/// Charges whose final cost is not known yet, and how much of each can still be given back.
+/// Tracks charges whose final cost is not known yet, and how much of each can still be refunded.
 ///
-/// A refund must leave the bucket no fuller than if only the used tokens had been charged at
-/// first. Tokens that the bucket would have lost at its burst limit in between are not given back:
-/// otherwise an account could spend its burst, wait for the refill, get the refund on top, and
-/// exceed rate x window + burst.
+/// A refund must not leave the bucket fuller than if only the used tokens had been charged in the
+/// first place. Tokens that the bucket would have lost at its burst limit in between are not
+/// refunded. Otherwise an account could spend its burst, wait for the refill, get the refund on
+/// top, and exceed rate x window + burst.
 class token_accounting
 {
 public:
@@ -19,11 +19,11 @@
     /// Records a charge that was just taken from the bucket.
     charge_id open(double inAmount);
 
-    /// Records the free room (burst - content) of the bucket; call it after each refill and each
-    /// change of content or limits.
+    /// Records the free capacity (burst - tokens) of the bucket; to be called after each refill and
+    /// each change of tokens or limits.
     void observeFreeCapacity(double inFreeCapacity);
 
-    /// Ends a charge and returns how much of the unused part goes back to the bucket.
+    /// Ends a charge and returns the refund: how much of the unused part goes back to the bucket.
     double close(charge_id inCharge, double inUnused);
 
     bool contains(charge_id inCharge) const { return mCharges.contains(inCharge); }
@@ -33,7 +33,7 @@
     struct charge
     {
         double amount = 0;
-        /// Least room since the charge; never less than that of an older charge.
+        /// Least free capacity since the charge; never less than that of an older charge.
         double minFreeCapacity = 0;
     };
 
--- a/corneltally/limits/token_bucket.cpp
+++ b/corneltally/limits/token_bucket.cpp
@@ -66,7 +66,7 @@
     if (inAmount > mBurst + cTolerance || mRate <= 0)
         return core::duration::max();
     const double microseconds = std::ceil(missing / mRate * 1e6);
-    // Larger values do not fit the clock and mean "never" to any caller.
+    // Larger values do not fit the clock; callers treat them as "never".
     constexpr double cLongest = 1e15;
     return microseconds < cLongest ? core::duration(static_cast<core::duration::rep>(microseconds))
                                    : core::duration::max();
--- a/tests/unit/limits_fleet_allowance_test.cpp
+++ b/tests/unit/limits_fleet_allowance_test.cpp
@@ -1,5 +1,5 @@
-// Guards against an account that gets more than its rate because instances do not know of each
-// other, and against wrongful refusals while they do.
+// Guards against accounts that exceed their rate while instances cannot reach each other, and
+// against unjustified refusals while they can.
 
 #include "corneltally/limits/fleet_allowance.h"
 #include "corneltally/limits/fleet_retry_budget.h"
@@ -80,14 +80,14 @@
         fleet.advance(100ms);
         total += fleet.drain(0) + fleet.drain(1);
     }
-    // The first second of silence is not yet noticed.
+    // The loss of contact is noticed only after cPeerTimeout.
     CHECK(total <= 1000 * 10 + 1000 * 0.8);
     CHECK(total >= 1000 * 9);
 }
 
-// Pattern: one account sends many times its usual while instances are cut off from each other, as
-// on scale-2 of a grown deployment.
-TEST_CASE("what is left when instances are cut off is used once, and comes back with the contact")
+// Guards against an account that spends the burst once at each instance: it sends many times its
+// usual load while instances are cut off from each other, as seen on scale-2 of a grown deployment.
+TEST_CASE("cut-off instances share the remaining burst, and regain it when they reconnect")
 {
     two_instances fleet;
     fleet.advance(3s);
@@ -105,7 +105,7 @@
     CHECK(fleet.drain(0) >= 900);
 }
 
-TEST_CASE("an instance starts empty and forgets its content after a pause")
+TEST_CASE("an allowance starts empty and is emptied after a pause")
 {
     two_instances fleet;
     CHECK(fleet.drain(0) == 0);
@@ -114,7 +114,7 @@
     CHECK(fleet.drain(0) == 0);
 }
 
-TEST_CASE("an instance that starts among others is not charged for all that they ever used")
+TEST_CASE("a new instance does not charge what its peers used before it started")
 {
     two_instances fleet;
     for (int step = 0; step < 100; ++step) {
@@ -129,7 +129,7 @@
     CHECK(fleet.drain(0) >= 900);
 }
 
-TEST_CASE("a lowered limit holds at once, and a charge can be given back")
+TEST_CASE("a lowered limit holds at once, and a charge can be refunded")
 {
     two_instances fleet;
     fleet.advance(2s);
@@ -146,7 +146,7 @@
     CHECK(allowance.tryCharge("open", 1e9, cStart));
 }
 
-TEST_CASE("repeats of all instances stay within the ratio and one common slack")
+TEST_CASE("retries of all instances stay within the ratio and one common slack")
 {
     limits::fleet_retry_budget budget({.ratio = 0.2, .window = 10s, .slack = 40, .usable = 1});
     budget.setInstanceCount(4);
--- a/tests/unit/limits_fleet_fixture.h
+++ b/tests/unit/limits_fleet_fixture.h
@@ -17,7 +17,7 @@
 using namespace std::chrono_literals;
 using core::duration;
 
-/// What happens to the simulated fleet.
+/// Load and faults of the simulated fleet.
 struct fleet_options
 {
     unsigned seed = 1;
@@ -26,18 +26,18 @@
     double burst = 4000;
     int instances = 4;
     bool loans = true;
-    /// Probabilities of each message.
+    /// Probabilities per message.
     double loss = 0;
     double duplication = 0;
     double longDelay = 0;
-    /// Mean time between faults of a instance; zero means none.
+    /// Mean time between faults of an instance; zero means none.
     duration pauseEvery{};
     duration restartEvery{};
     /// Whether instance 5 joins and leaves the settings tree.
     bool joins = false;
     /// Offered tokens relative to the rate, over the fleet.
     double load = 1;
-    /// Part of the load that arrives at one instance, which changes every few seconds.
+    /// Fraction of the load that arrives at one instance, which changes every few seconds.
     double skew = 0.7;
     /// Longest idle time between phases of load, in which buckets fill; zero means no idle times.
     duration idle{};
@@ -48,7 +48,7 @@
     double meanTokens = 150;
 };
 
-/// Several instances of one limit on a virtual clock, each with a boot clock of its own.
+/// Several instances that share one limit, on a virtual clock; each has its own boot clock.
 class fleet_simulation
 {
 public:
@@ -109,7 +109,7 @@
     int arrivals = 0;
     int admitted = 0;
     int refused = 0;
-    /// Refusals although one central bucket of the whole limit held the tokens.
+    /// Refusals although one central bucket with the whole limit contained the tokens.
     int wrongful = 0;
     int loansGranted = 0;
 
@@ -147,7 +147,7 @@
     {
         return std::uniform_int_distribution<std::size_t>(0, mListed - 1)(mRandom);
     }
-    /// Also instances that the tree does not list: callers may still be connected to them.
+    /// Includes instances that the tree does not list: callers may still be connected to them.
     std::size_t pickAny()
     {
         return std::uniform_int_distribution<std::size_t>(0, mCurrent.size() - 1)(mRandom);
@@ -157,7 +157,7 @@
         mEvents.emplace(inTime, std::move(inTask));
     }
 
-    /// Runs a task in a process: not if it ended, and only after a pause.
+    /// Runs a task in a process: skipped if the process has ended, deferred while it is paused.
     void inProcess(const process_ptr &inTarget, const std::function<void()> &inTask)
     {
         if (!inTarget->alive)
@@ -215,7 +215,7 @@
         target->pausedAt = mNow;
         const duration length = between(100ms, 12s);
         at(mNow + length, [this, target] { resume(target); });
-        // Some are replaced while they are paused, and learn of it only after they resumed.
+        // Some processes are replaced while they are paused and learn of it only after resuming.
         if (length > 2s && uniform() < 0.5)
             at(mNow + 2s, [this, target] {
                 if (target->paused)
--- a/tests/unit/limits_fleet_share_test.cpp
+++ b/tests/unit/limits_fleet_share_test.cpp
@@ -1,5 +1,5 @@
-// Guards against a fleet that spends more than rate x window + burst in any window, whatever
-// happens to messages and processes, and against refusals that loans between instances avoid.
+// Guards against a fleet that spends more than rate x window + burst in any window under faults of
+// messages and processes, and against refusals that loans between instances avoid.
 
 #include "limits_fleet_fixture.h"
 
@@ -17,7 +17,8 @@
 
 const core::time_point cStart{1000s};
 
-/// Faults of every kind hide each other, since most lose budget. So each seed has its own mix.
+/// Each seed has its own mix of faults: most faults lose tokens, so that all kinds together would
+/// mask each other.
 fleet_options mixedFaults(unsigned inSeed)
 {
     std::mt19937 random(inSeed);
@@ -62,7 +63,7 @@
         CHECK(excess <= 0.01);
     }
     std::printf("closest window: %.3f tokens over the limit, %d loans\n", closest, loans);
-    // The property would hold without meaning if no loan was made or the limit never reached.
+    // Without loans, or if the limit was never approached, the checks above would prove nothing.
     CHECK(loans > 10'000);
     CHECK(closest > -36); // the largest request of the smallest mean
 }
@@ -95,7 +96,7 @@
     }
 }
 
-TEST_CASE("a share starts empty and stays so for the duration of a loan")
+TEST_CASE("a share starts empty and does not refill for the duration of a loan")
 {
     fleet_share share(1000, 4000, 0.25, cStart);
     CHECK(share.available(cStart + 2s) == Approx(0));
@@ -104,7 +105,7 @@
     CHECK(share.rate(cStart + 60s) == Approx(250));
 }
 
-TEST_CASE("a lender subtracts first and has the loan back after its duration")
+TEST_CASE("a lender subtracts a loan first and gets it back after its duration")
 {
     fleet_share share(1000, 4000, 0.25, cStart);
     const core::time_point now = cStart + 60s;
@@ -116,7 +117,7 @@
     CHECK(share.rate(now) == Approx(50));
     CHECK_FALSE(share.lend("entry-2", 1, 50, 100, now));
     CHECK(share.rate(now + 2s) == Approx(250));
-    // The bucket kept filling at the remaining rate, up to the burst that was left: 300.
+    // The bucket refilled at the remaining rate, up to the remaining burst of 300.
     CHECK(share.available(now + 2s) == Approx(300));
 }
 
@@ -135,7 +136,7 @@
     CHECK_FALSE(share.loanReceived("entry-2", 8, loan, cStart + 2s));
 }
 
-TEST_CASE("damaged loans are refused")
+TEST_CASE("loans with invalid values are rejected")
 {
     fleet_share share(1000, 4000, 0.25, cStart);
     auto receive = [&, id = std::uint64_t(1)](fleet_share::loan inLoan) mutable {
@@ -160,11 +161,11 @@
     share.setFraction(0.25, now);
     CHECK(share.rate(now + 6999ms) == Approx(200));
     CHECK(share.rate(now + 7s) == Approx(250));
-    // A shrink cancels a growth that is under way.
+    // A shrink cancels a pending growth.
     share.setFraction(0.5, now + 8s);
     share.setFraction(0.25, now + 9s);
     CHECK(share.rate(now + 30s) == Approx(250));
-    // Limits of the account itself are in effect at once.
+    // Changes of the account's own limits take effect at once.
     share.setLimits(2000, 4000, now + 30s);
     CHECK(share.rate(now + 30s) == Approx(500));
 }
@@ -184,19 +185,19 @@
     CHECK(share.available(now + 4500ms) == Approx(250));
 }
 
-TEST_CASE("a refund does not bring back tokens that were lost at the burst limit")
+TEST_CASE("a refund does not restore tokens that were lost at the burst limit")
 {
     fleet_share share(1000, 4000, 0.25, cStart);
     core::time_point now = cStart + 60s;
     const auto first = share.tryCharge(1000, now);
     REQUIRE(first);
-    // The bucket is full again after 4 s, so that the unused tokens were covered by the refill.
+    // The bucket is full again after 4 s: the refill already replaced the unused tokens.
     now += 4s;
     const auto second = share.tryCharge(1000, now);
     REQUIRE(second);
     share.settle(*first, 1000, 100, now);
     CHECK(share.available(now) == Approx(0));
-    // The second charge is refunded before the bucket is full.
+    // The second charge is settled before the bucket is full.
     now += 1s;
     share.settle(*second, 1000, 300, now);
     CHECK(share.available(now) == Approx(950));
--- a/tests/unit/limits_shared_limiter_test.cpp
+++ b/tests/unit/limits_shared_limiter_test.cpp
@@ -1,5 +1,5 @@
-// Guards against requests that are refused too early or out of order, that wait for ever, or whose
-// tokens are charged twice or not given back.
+// Guards against requests that are refused too early, decided out of order or wait forever, and
+// against tokens that are charged twice or not refunded.
 
 #include "corneltally/limits/shared_limiter.h"
 
@@ -14,7 +14,7 @@
 namespace {
 
 const core::time_point cStart{1000s};
-/// The share (250 tokens/s, burst 1,000) is full by then.
+/// Time at which the share (250 tokens/s, burst 1,000) is full.
 const core::time_point cFull = cStart + 60s;
 
 shared_limiter makeLimiter()
@@ -51,12 +51,12 @@
     const auto actions = limiter.poll(cFull + 250ms);
     REQUIRE(actions.decisions.size() == 2);
     CHECK(actions.decisions[0].outcome == limiter_outcome::refused);
-    // 1,000 tokens are waited for and 62.5 are there.
+    // 1,000 tokens are needed and 62.5 are available.
     CHECK(actions.decisions[0].retryAfter == 3750ms);
     CHECK(limiter.waiting() == 0);
 }
 
-TEST_CASE("small requests do not overtake a large one that waits")
+TEST_CASE("small requests do not overtake a large waiting one")
 {
     shared_limiter limiter = makeLimiter();
     limiter.submit("r1", 1000, cFull + 10s, cFull);
@@ -90,7 +90,7 @@
     CHECK(first.loanRequest->tokens == Approx(500));
     CHECK_FALSE(limiter.poll(cFull + 1ms).loanRequest);
 
-    // An empty answer: the next one is asked at once.
+    // After an empty answer the next peer is asked at once.
     limiter.loanReceived("entry-2", first.loanRequest->loanId, {}, cFull + 2ms);
     const auto second = limiter.poll(cFull + 2ms);
     REQUIRE(second.loanRequest);
@@ -104,7 +104,7 @@
     CHECK_FALSE(last.loanRequest);
 }
 
-TEST_CASE("a peer that does not answer does not end the search")
+TEST_CASE("the next peer is asked when a peer does not answer")
 {
     shared_limiter limiter = makeLimiter();
     limiter.setPeers({"entry-2", "entry-3"});
@@ -118,7 +118,7 @@
     CHECK(asked.size() <= 8);
 }
 
-TEST_CASE("an instance whose own requests wait lends nothing, an idle one lends")
+TEST_CASE("an idle instance lends, one whose own requests wait does not")
 {
     shared_limiter limiter = makeLimiter();
     const fleet_share::loan loan = limiter.lend("entry-2", 1, 100, 400, cFull);
@@ -130,7 +130,7 @@
     CHECK(limiter.lend("entry-2", 2, 100, 100, cFull) == fleet_share::loan{});
 }
 
-TEST_CASE("a cancelled or settled request gives its tokens back once")
+TEST_CASE("a cancelled or settled request is refunded once")
 {
     shared_limiter limiter = makeLimiter();
     limiter.submit("r1", 600, cFull + 10s, cFull);
@@ -148,7 +148,7 @@
     CHECK(limiter.share().available(cFull) == Approx(900));
 }
 
-TEST_CASE("charges that are never settled are forgotten")
+TEST_CASE("charges that are never settled expire")
 {
     shared_limiter limiter = makeLimiter();
     limiter.submit("r1", 600, cFull + 10s, cFull);
--- a/tests/unit/limits_token_bucket_test.cpp
+++ b/tests/unit/limits_token_bucket_test.cpp
@@ -1,5 +1,5 @@
-// Guards against buckets that hand out more than their rate and burst, and against retries beyond
-// their budget.
+// Guards against buckets that admit more than their rate and burst, and against retries beyond the
+// budget.
 
 #include "corneltally/limits/retry_budget.h"
 #include "corneltally/limits/token_bucket.h"
@@ -25,11 +25,11 @@
     CHECK(bucket.available(cStart + 10s) == Approx(300));
     CHECK(bucket.tryTake(300, cStart + 10s));
     CHECK_FALSE(bucket.tryTake(1, cStart + 10s));
-    // A time before the last one changes nothing.
+    // A time before the latest one changes nothing.
     CHECK(bucket.available(cStart + 5s) == Approx(0));
 }
 
-TEST_CASE("a bucket tells when it will hold an amount")
+TEST_CASE("timeUntil returns when the bucket contains an amount")
 {
     token_bucket bucket(100, 300, cStart);
     CHECK(bucket.timeUntil(150, cStart) == 1500ms);
@@ -58,7 +58,7 @@
     CHECK(bucket.available(cStart + 10s) == Approx(120));
 }
 
-TEST_CASE("a share of one load that is not exactly one can be taken")
+TEST_CASE("rounding errors of a burst do not block a take")
 {
     token_bucket bucket(1, 49 * (1.0 / 49), cStart);
     CHECK(bucket.tryTake(1, cStart + 10s));
@@ -69,7 +69,7 @@
     retry_budget budget(cStart);
     int retries = 0;
     for (int request = 0; request < 10'000; ++request) {
-        // 1,000 requests a second, and every one would be retried.
+        // 1,000 requests a second, each of which attempts a retry.
         const core::time_point now = cStart + request * 1ms;
         budget.requestStarted(now);
         retries += budget.tryRetry(now) ? 1 : 0;
@@ -78,7 +78,7 @@
     CHECK(retries >= 990);
 }
 
-TEST_CASE("an idle instance may retry a few times but not save up")
+TEST_CASE("an idle instance may retry, but saves up at most the burst")
 {
     retry_budget budget(cStart);
     CHECK_FALSE(budget.tryRetry(cStart));
@@ -86,7 +86,7 @@
     CHECK(budget.available(cStart + 1h) == Approx(retry_budget::cBurst));
 }
 
-TEST_CASE("retry delays double up to their limit and spread over the whole range")
+TEST_CASE("retry delays double up to the limit and are spread over the whole range")
 {
     CHECK(limits::retryDelay(0, 100ms, 1s, 0.0) == 0ms);
     CHECK(limits::retryDelay(0, 100ms, 1s, 0.5) == 50ms);
