--- a/corneltally/ownership/takeover.cpp
+++ b/corneltally/ownership/endpoint_ownership.cpp
@@ -1,4 +1,4 @@
-#include "corneltally/ownership/takeover.h"
+#include "corneltally/ownership/endpoint_ownership.h"
 
 #include <algorithm>
 #include <cassert>
--- a/tests/unit/ownership_rules_test.cpp
+++ b/tests/unit/ownership_rules_test.cpp
@@ -1,11 +1,11 @@
 // Guards against two instances that both command an endpoint, and against unloading adapters that
 // runs of an earlier owner still use.
 
+#include "corneltally/ownership/endpoint_ownership.h"
 #include "corneltally/ownership/fence.h"
 #include "corneltally/ownership/lease.h"
 #include "corneltally/ownership/lease_table.h"
 #include "corneltally/ownership/owner_choice.h"
-#include "corneltally/ownership/takeover.h"
 
 #include <map>
 #include <random>
