--- a/corneltally/entry/owned_endpoint.h
+++ b/corneltally/entry/owned_endpoint.h
@@ -136,7 +136,7 @@
     bool mWanted = false;
     bool mDraining = false;
 
-    ownership::takeover mTakeover;
+    ownership::endpoint_ownership mTakeover;
     ownership::lease mLease;
     bool mLeaseHeld = false;
     /// Tells the answers of an earlier acquisition or ownership from current ones.
--- a/corneltally/entry/owned_endpoint_impl.h
+++ b/corneltally/entry/owned_endpoint_impl.h
@@ -40,7 +40,7 @@
     mSlots.configure({.slots = mView.adapterSlots});
     if (mView.leaving)
         refuseWaiting(core::error_kind::unavailable, "the endpoint is leaving");
-    if (fencingChanged && mTakeover.current() != ownership::takeover::phase::not_owner)
+    if (fencingChanged && mTakeover.current() != ownership::endpoint_ownership::phase::not_owner)
         loseOwnership("the endpoint's fencing changed");
 }
 
@@ -51,7 +51,7 @@
         return;
     if (inWanted) {
         // A lost owner's queue is empty; a releasing one acquires a new number.
-        if (mTakeover.current() == ownership::takeover::phase::releasing)
+        if (mTakeover.current() == ownership::endpoint_ownership::phase::releasing)
             mTakeover.lost();
         mNextAcquire = mHooks.now();
         return;
@@ -80,7 +80,7 @@
 {
     mLease.drop();
     mLeaseHeld = false;
-    if (mTakeover.current() != ownership::takeover::phase::not_owner)
+    if (mTakeover.current() != ownership::endpoint_ownership::phase::not_owner)
         loseOwnership("the process was paused");
     mNextAcquire = mHooks.now();
 }
@@ -88,7 +88,7 @@
 template <endpoint::engine_protocol Engine>
 void owned_endpoint<Engine>::tick()
 {
-    using phase = ownership::takeover::phase;
+    using phase = ownership::endpoint_ownership::phase;
     const core::time_point now = mHooks.now();
     if (mWanted && !mDraining && now >= mNextAcquire
         && (mTakeover.current() == phase::not_owner || (isOwning() && mNeedsNewFence)))
@@ -294,7 +294,7 @@
 template <endpoint::engine_protocol Engine>
 std::optional<endpoint_status> owned_endpoint<Engine>::status() const
 {
-    using phase = ownership::takeover::phase;
+    using phase = ownership::endpoint_ownership::phase;
     // A number that replaces the own one is acquired within a round trip; the endpoint stays owned.
     const bool renews = mTakeover.current() == phase::acquiring && mReported;
     if (!isOwning() && !renews)
--- a/corneltally/entry/owned_endpoint_runs_impl.h
+++ b/corneltally/entry/owned_endpoint_runs_impl.h
@@ -21,7 +21,7 @@
 template <endpoint::engine_protocol Engine>
 bool owned_endpoint<Engine>::mayContinueRuns() const
 {
-    return isOwning() || mTakeover.current() == ownership::takeover::phase::releasing;
+    return isOwning() || mTakeover.current() == ownership::endpoint_ownership::phase::releasing;
 }
 
 template <endpoint::engine_protocol Engine>
@@ -43,8 +43,8 @@
 void owned_endpoint<Engine>::queueRun(const run_submit &inSubmit)
 {
     // While a number that replaces the own one is acquired, runs wait for it.
-    const bool renews = mTakeover.current() == ownership::takeover::phase::acquiring && mReported
-        && !mDraining && !mView.leaving;
+    const bool renews = mTakeover.current() == ownership::endpoint_ownership::phase::acquiring
+        && mReported && !mDraining && !mView.leaving;
     if (!mayTakeRuns() && !renews) {
         refuse(inSubmit, core::error_kind::unavailable,
                mView.leaving ? "the endpoint is leaving"
@@ -306,7 +306,7 @@
     if (inRun.reachedEndpoint) {
         mTakeover.interrupted(inRun.adapter, now);
     } else if (mView.checksFencing) {
-        mTakeover.interruptedOnTheWay(inRun.adapter);
+        mTakeover.interruptedInTransit(inRun.adapter);
         mNeedsNewFence = true;
     } else {
         mTakeover.interrupted(inRun.adapter, now + mOptions.longestRequest);
--- a/corneltally/ownership/endpoint_ownership.cpp
+++ b/corneltally/ownership/endpoint_ownership.cpp
@@ -5,12 +5,12 @@
 
 namespace corneltally::ownership {
 
-void takeover::acquire()
+void endpoint_ownership::acquire()
 {
     mPhase = phase::acquiring;
 }
 
-void takeover::acquired(std::uint64_t inFence, core::time_point inNow)
+void endpoint_ownership::acquired(std::uint64_t inFence, core::time_point inNow)
 {
     assert(inFence == 0 || inFence > mFence);
     mPhase = phase::owning;
@@ -21,7 +21,7 @@
     mInterrupted.clear();
 }
 
-void takeover::acquiredUnfenced(core::time_point inNow, core::time_point inQuarantineEnd)
+void endpoint_ownership::acquiredUnfenced(core::time_point inNow, core::time_point inQuarantineEnd)
 {
     const std::map<std::string, core::time_point, std::less<>> interrupted = mInterrupted;
     acquired(0, std::max(inNow, inQuarantineEnd));
@@ -29,38 +29,39 @@
     mInterrupted = interrupted;
 }
 
-void takeover::release()
+void endpoint_ownership::release()
 {
     if (mPhase == phase::owning || mPhase == phase::acquiring)
         mPhase = phase::releasing;
 }
 
-void takeover::lost()
+void endpoint_ownership::lost()
 {
     mPhase = phase::not_owner;
     mKnownIdle.clear();
 }
 
-void takeover::interrupted(std::string_view inAdapter, core::time_point inUntil)
+void endpoint_ownership::interrupted(std::string_view inAdapter, core::time_point inUntil)
 {
     core::time_point &until = mInterrupted.try_emplace(std::string(inAdapter)).first->second;
     until = std::max(until, inUntil);
 }
 
-void takeover::interruptedOnTheWay(std::string_view inAdapter)
+void endpoint_ownership::interruptedInTransit(std::string_view inAdapter)
 {
     interrupted(inAdapter, core::time_point::max());
 }
 
-void takeover::reported(std::span<const adapter_use> inAdapters, core::time_point inDescribed)
+void endpoint_ownership::reported(std::span<const adapter_use> inAdapters,
+                                  core::time_point inDescribedAt)
 {
     for (const adapter_use &use : inAdapters) {
         if (use.running > 0)
             continue;
-        if (inDescribed > mQuarantineEnd)
+        if (inDescribedAt > mQuarantineEnd)
             mKnownIdle.insert(use.adapter);
         const auto found = mInterrupted.find(use.adapter);
-        if (found != mInterrupted.end() && inDescribed > found->second)
+        if (found != mInterrupted.end() && inDescribedAt > found->second)
             mInterrupted.erase(found);
     }
     // An adapter that is no longer resident is quarantined again if another instance loads it.
@@ -69,21 +70,21 @@
     });
 }
 
-bool takeover::isQuarantined(std::string_view inAdapter) const
+bool endpoint_ownership::isQuarantined(std::string_view inAdapter) const
 {
     return !mKnownIdle.contains(inAdapter) || mInterrupted.contains(inAdapter);
 }
 
-std::string_view toString(takeover::phase inPhase)
+std::string_view toString(endpoint_ownership::phase inPhase)
 {
     switch (inPhase) {
-    case takeover::phase::not_owner:
+    case endpoint_ownership::phase::not_owner:
         return "not_owner";
-    case takeover::phase::acquiring:
+    case endpoint_ownership::phase::acquiring:
         return "acquiring";
-    case takeover::phase::owning:
+    case endpoint_ownership::phase::owning:
         return "owning";
-    case takeover::phase::releasing:
+    case endpoint_ownership::phase::releasing:
         break;
     }
     return "releasing";
--- a/corneltally/ownership/endpoint_ownership.h
+++ b/corneltally/ownership/endpoint_ownership.h
@@ -14,7 +14,7 @@
 
 /// Ownership of one endpoint by this instance, and which resident adapters may be in use by runs
 /// that it does not know: those of an earlier owner and those whose end it did not see.
-class takeover
+class endpoint_ownership
 {
 public:
     enum class phase { not_owner, acquiring, owning, releasing };
@@ -44,11 +44,11 @@
     /// inUntil show whether it has; if the run may still be on its way to the endpoint, no report
     /// does, and the adapter stays in use until a new fencing number is registered.
     void interrupted(std::string_view inAdapter, core::time_point inUntil);
-    void interruptedOnTheWay(std::string_view inAdapter);
+    void interruptedInTransit(std::string_view inAdapter);
 
-    /// A report that describes the moment inDescribed. An adapter without runs in it leaves the
+    /// A report that describes the moment inDescribedAt. An adapter without runs in it leaves the
     /// quarantine if that moment is late enough.
-    void reported(std::span<const adapter_use> inAdapters, core::time_point inDescribed);
+    void reported(std::span<const adapter_use> inAdapters, core::time_point inDescribedAt);
 
     bool isQuarantined(std::string_view inAdapter) const;
 
@@ -62,6 +62,6 @@
 };
 
 /// Name of a phase in dumps and log lines.
-std::string_view toString(takeover::phase inPhase);
+std::string_view toString(endpoint_ownership::phase inPhase);
 
 } // namespace corneltally::ownership
--- a/tests/unit/ownership_rules_test.cpp
+++ b/tests/unit/ownership_rules_test.cpp
@@ -78,7 +78,7 @@
 
 TEST_CASE("a resident adapter is in use until a report describes a moment after the fencing number")
 {
-    takeover state;
+    endpoint_ownership state;
     CHECK(state.isQuarantined("x@1"));
     state.acquire();
     state.acquired(1025, cStart);
@@ -96,12 +96,12 @@
 
 TEST_CASE("a new fencing number quarantines all adapters again")
 {
-    takeover state;
+    endpoint_ownership state;
     state.acquire();
     state.acquired(1025, cStart);
     state.reported(std::vector<adapter_use>{{"x@1", 0}}, cStart + 1s);
     state.lost();
-    CHECK(state.current() == takeover::phase::not_owner);
+    CHECK(state.current() == endpoint_ownership::phase::not_owner);
     CHECK(state.isQuarantined("x@1"));
     state.acquire();
     state.acquired(2049, cStart + 5s);
@@ -111,7 +111,7 @@
 
 TEST_CASE("without fencing, reports count only after the longest request has timed out")
 {
-    takeover state;
+    endpoint_ownership state;
     state.acquire();
     state.acquiredUnfenced(cStart, cStart + 60s);
     const std::vector<adapter_use> idle{{"x@1", 0}};
@@ -123,7 +123,7 @@
 
 TEST_CASE("a run whose end was not seen keeps its adapter in use until a later report")
 {
-    takeover state;
+    endpoint_ownership state;
     state.acquire();
     state.acquired(1025, cStart);
     const std::vector<adapter_use> idle{{"x@1", 0}};
@@ -139,12 +139,12 @@
 
 TEST_CASE("a run that may still be on its way keeps its adapter in use until a new fencing number")
 {
-    takeover state;
+    endpoint_ownership state;
     state.acquire();
     state.acquired(1025, cStart);
     const std::vector<adapter_use> idle{{"x@1", 0}};
     state.reported(idle, cStart + 1s);
-    state.interruptedOnTheWay("x@1");
+    state.interruptedInTransit("x@1");
     state.interrupted("x@1", cStart + 2s);
     state.reported(idle, cStart + 100s);
     CHECK(state.isQuarantined("x@1"));
@@ -157,7 +157,7 @@
 
 TEST_CASE("an adapter that went away and came back by another instance is quarantined again")
 {
-    takeover state;
+    endpoint_ownership state;
     state.acquire();
     state.acquired(1025, cStart);
     state.reported(std::vector<adapter_use>{{"x@1", 0}}, cStart + 1s);
