--- a/corneltally/ownership/adapter_use.h
+++ b/corneltally/ownership/adapter_use.h
@@ -5,7 +5,7 @@
 
 namespace corneltally::ownership {
 
-/// An adapter version in an endpoint's report, with the number of its runs.
+/// An adapter version in an endpoint's report and the number of runs that use it.
 struct adapter_use
 {
     /// Adapter and version as one name, for example "quotes@7".
--- a/corneltally/ownership/endpoint_ownership.cpp
+++ b/corneltally/ownership/endpoint_ownership.cpp
@@ -17,7 +17,7 @@
     mFence = inFence;
     mQuarantineEnd = inNow;
     mKnownIdle.clear();
-    // Runs that were on their way are refused from now on; the others are in later reports.
+    // The endpoint refuses runs in transit from now on; all other runs appear in later reports.
     mInterrupted.clear();
 }
 
@@ -25,7 +25,7 @@
 {
     const std::map<std::string, core::time_point, std::less<>> interrupted = mInterrupted;
     acquired(0, std::max(inNow, inQuarantineEnd));
-    // Nothing refuses runs that are on their way.
+    // Without fencing, the endpoint does not refuse runs in transit.
     mInterrupted = interrupted;
 }
 
--- a/corneltally/ownership/endpoint_ownership.h
+++ b/corneltally/ownership/endpoint_ownership.h
@@ -12,8 +12,9 @@
 
 namespace corneltally::ownership {
 
-/// Ownership of one endpoint by this instance, and which resident adapters may be in use by runs
-/// that it does not know: those of an earlier owner and those whose end it did not see.
+/// Tracks the ownership of one endpoint by this instance, and which resident adapters are
+/// quarantined because unknown runs may use them: runs of an earlier owner and runs whose end this
+/// instance did not see.
 class endpoint_ownership
 {
 public:
@@ -21,33 +22,36 @@
 
     phase current() const { return mPhase; }
     std::uint64_t fence() const { return mFence; }
-    /// New runs and commands may be sent.
+    /// Whether new runs and commands may be sent.
     bool isOwning() const { return mPhase == phase::owning; }
 
-    /// Starts to acquire a fencing number, also to replace the own one.
+    /// Starts to acquire a fencing number, also to replace this instance's current one.
     void acquire();
 
-    /// The fencing number is registered: runs of earlier owners that are not at the endpoint yet
-    /// will be refused. From now on every adapter is quarantined.
+    /// Called when the fencing number is registered, so that the endpoint refuses runs of earlier
+    /// owners that have not reached it yet. Quarantines every adapter.
     void acquired(std::uint64_t inFence, core::time_point inNow);
 
-    /// The same for an endpoint that does not check numbers: earlier owners may still send runs, so
-    /// that reports end no quarantine before inQuarantineEnd, when the last of them has timed out.
+    /// The same for an endpoint that does not check fencing numbers. Earlier owners may still send
+    /// runs, so no report ends a quarantine before inQuarantineEnd, when the last of them has timed
+    /// out.
     void acquiredUnfenced(core::time_point inNow, core::time_point inQuarantineEnd);
 
-    /// Takes no new runs; running ones go on until lost() is called.
+    /// Accepts no new runs; running ones continue until lost() is called.
     void release();
 
+    /// Ends the ownership and quarantines every adapter.
     void lost();
 
-    /// A run ended without certainty that it has ended at the endpoint. Reports of moments after
-    /// inUntil show whether it has; if the run may still be on its way to the endpoint, no report
-    /// does, and the adapter stays in use until a new fencing number is registered.
+    /// Called when a run ended here but may still be running at the endpoint. Reports that describe
+    /// a time after inUntil show whether it is. If the run may still be in transit to the endpoint,
+    /// no report shows that, and the adapter stays quarantined until a new fencing number is
+    /// registered.
     void interrupted(std::string_view inAdapter, core::time_point inUntil);
     void interruptedInTransit(std::string_view inAdapter);
 
-    /// A report that describes the moment inDescribedAt. An adapter without runs in it leaves the
-    /// quarantine if that moment is late enough.
+    /// Applies a report that describes the time inDescribedAt. An adapter without runs leaves the
+    /// quarantine if that time is after the end of its quarantine.
     void reported(std::span<const adapter_use> inAdapters, core::time_point inDescribedAt);
 
     bool isQuarantined(std::string_view inAdapter) const;
@@ -55,7 +59,7 @@
 private:
     phase mPhase = phase::not_owner;
     std::uint64_t mFence = 0;
-    /// Reports of later moments end quarantines.
+    /// Reports that describe a later time can end quarantines.
     core::time_point mQuarantineEnd;
     std::set<std::string, std::less<>> mKnownIdle;
     std::map<std::string, core::time_point, std::less<>> mInterrupted;
--- a/corneltally/ownership/lease.cpp
+++ b/corneltally/ownership/lease.cpp
@@ -24,7 +24,7 @@
 std::optional<lease_record> lease::propose(const lease_table &inTable, core::time_point inNow)
 {
     if (mPending) {
-        // An append without an answer counts as failed after the duration that it would give.
+        // An append without an answer counts as failed after the duration of the lease.
         if (inNow < mStarted[*mPending] + mLength)
             return std::nullopt;
         mPending.reset();
@@ -61,7 +61,7 @@
     if (current == nullptr || current->offset == mOffset)
         return;
     if (current->record.instance != mInstance || current->record.incarnation != mIncarnation) {
-        // Another instance holds the lease, whatever this one believed.
+        // The log is authoritative: another instance holds the lease.
         mHeldUntil.reset();
         mOffset = 0;
         return;
--- a/corneltally/ownership/lease.h
+++ b/corneltally/ownership/lease.h
@@ -12,8 +12,8 @@
 
 class lease_table;
 
-/// This instance's lease of one endpoint that does not check fencing numbers: decides when to
-/// append a record, and knows whether the lease is held at a given moment.
+/// This instance's lease of one endpoint that does not check fencing numbers. Decides when to
+/// append a record and whether the lease is held at a given time.
 class lease
 {
 public:
@@ -21,24 +21,25 @@
     lease(std::string inEndpoint, std::string inInstance, std::uint64_t inIncarnation,
           core::duration inLength, std::uint64_t inFirstSequence = 1);
 
-    /// Record to append now, if any: a first one once the lease of another instance has expired, or
-    /// a renewal after half of the duration. Call observe() before. The caller appends it at once;
-    /// the duration counts from inNow, before the append.
+    /// Returns the record to append now, if any: a first one once the lease of another instance has
+    /// expired, or a renewal after half of the duration. To be called after observe(). The caller
+    /// appends the record at once; the duration counts from inNow, before the append.
     std::optional<lease_record> propose(const lease_table &inTable, core::time_point inNow);
 
-    /// The append failed or its answer was lost; the record may or may not be on the log.
+    /// Called when the append failed or its answer was lost; the record may or may not be on the
+    /// log.
     void appendFailed(core::time_point inNow);
 
-    /// Looks at the table after records were read.
+    /// Updates the state of the lease from the table, after records were read.
     void observe(const lease_table &inTable, core::time_point inNow);
 
-    /// Gives the lease up until propose() is called again and its record is read.
+    /// Drops the lease until the record of a later propose() is read.
     void drop();
 
-    /// Whether the lease is certainly held; to be asked immediately before each command.
+    /// Whether the lease is certainly held; to be checked immediately before each command.
     bool isHeld(core::time_point inNow) const { return mHeldUntil && inNow < *mHeldUntil; }
 
-    /// Offset of the own current record; 0 without one.
+    /// Offset of this instance's current record; 0 if there is none.
     std::uint64_t offset() const { return mOffset; }
 
 private:
@@ -47,7 +48,7 @@
     std::uint64_t mIncarnation;
     core::duration mLength;
     std::uint64_t mNextSequence;
-    /// When each append whose record was not read yet was started.
+    /// Start times of the appends whose records were not read yet, by sequence.
     std::map<std::uint64_t, core::time_point> mStarted;
     std::optional<std::uint64_t> mPending;
     core::time_point mNotBefore;
--- a/corneltally/ownership/lease_record.h
+++ b/corneltally/ownership/lease_record.h
@@ -16,7 +16,7 @@
     std::string endpoint;
     std::string instance;
     std::uint64_t incarnation = 0;
-    /// Tells the appends of one incarnation apart.
+    /// Unique among the appends of one incarnation.
     std::uint64_t sequence = 0;
     /// Offset of the lease record that this one replaces; 0 if there was none.
     std::uint64_t replaces = 0;
--- a/corneltally/ownership/lease_table.cpp
+++ b/corneltally/ownership/lease_table.cpp
@@ -20,7 +20,8 @@
     const std::uint64_t current = found == mLeases.end() ? 0 : found->second.offset;
     const bool replacesCurrent = inRecord.replaces == current;
     // The replaced record expired from the log before this instance read it. Of several such
-    // records, the one that replaces the latest is right: its author had read that far.
+    // records, the one that replaces the latest offset is valid, because its author had read
+    // furthest.
     const bool replacesUnread = inRecord.replaces != 0 && inRecord.replaces < mFirstOffset
         && (found == mLeases.end() || found->second.offset < mFirstOffset
             || (found->second.unverified && inRecord.replaces > found->second.record.replaces));
--- a/corneltally/ownership/lease_table.h
+++ b/corneltally/ownership/lease_table.h
@@ -10,8 +10,8 @@
 
 namespace corneltally::ownership {
 
-/// The current lease of each endpoint, by replay of the log stream "leases". Every reader of the
-/// same records reaches the same verdicts; clocks only decide when a lease has expired.
+/// The current lease of each endpoint, by replay of the log stream "leases". All readers of the
+/// same records accept the same leases; clocks only decide when a lease has expired.
 class lease_table
 {
 public:
@@ -19,27 +19,28 @@
     {
         std::uint64_t offset = 0;
         lease_record record;
-        /// When this instance read the record.
+        /// Time at which this instance read the record.
         core::time_point readAt;
-        /// The record that it replaces is no longer on the log, so that it was not verified.
+        /// Set if the replaced record is no longer on the log, so that this one could not be
+        /// verified.
         bool unverified = false;
     };
 
-    /// Tells the table the oldest offset that the log still holds; called before the first record
-    /// and after a gap. Records that replace older ones cannot be verified.
+    /// Sets the oldest offset that the log still has; to be called before the first record and
+    /// after a gap. Records that replace older ones cannot be verified.
     void startAt(std::uint64_t inFirstOffset);
 
-    /// Applies a record; true if it is valid and now the current lease.
+    /// Applies a record; returns whether it is valid and now the current lease.
     bool apply(std::uint64_t inOffset, const lease_record &inRecord, core::time_point inNow);
 
-    /// Passes over a record that cannot be read; all readers do so.
+    /// Skips a record that cannot be parsed, as all readers do.
     void skip(std::uint64_t inOffset);
 
-    /// The current lease of an endpoint, or nullptr.
+    /// Returns the current lease of an endpoint, or nullptr.
     const current_lease *find(std::string_view inEndpoint) const;
 
-    /// Whether another instance may take over: the lease was not renewed for its duration and a
-    /// margin of 20% after it was read.
+    /// Whether another instance may take over: the lease was not renewed for its duration plus a
+    /// margin of 20% since it was read.
     bool isExpired(std::string_view inEndpoint, core::time_point inNow) const;
 
     std::uint64_t nextOffset() const { return mNextOffset; }
--- a/tests/unit/ownership_rules_test.cpp
+++ b/tests/unit/ownership_rules_test.cpp
@@ -1,5 +1,5 @@
-// Guards against two instances that both command an endpoint, and against unloading adapters that
-// runs of an earlier owner still use.
+// Guards against two instances that command one endpoint at the same time, and against unloading
+// adapters that runs of an earlier owner still use.
 
 #include "corneltally/ownership/endpoint_ownership.h"
 #include "corneltally/ownership/fence.h"
@@ -50,7 +50,7 @@
     CHECK_FALSE(chooseOwner("engine-1", "east", {}).has_value());
 }
 
-TEST_CASE("only the endpoints of a lost instance change their owner")
+TEST_CASE("only the endpoints of a lost instance change owner")
 {
     const std::vector<owner_candidate> live{{"a", "n"}, {"b", "n"}, {"c", "n"}};
     const std::vector<owner_candidate> fewer{{"a", "n"}, {"c", "n"}};
@@ -76,14 +76,14 @@
     }
 }
 
-TEST_CASE("a resident adapter is in use until a report describes a moment after the fencing number")
+TEST_CASE("an adapter is quarantined until a report describes a time after the fencing number")
 {
     endpoint_ownership state;
     CHECK(state.isQuarantined("x@1"));
     state.acquire();
     state.acquired(1025, cStart);
     const std::vector<adapter_use> idle{{"x@1", 0}, {"y@1", 1}};
-    // Received after the registration, but the report lags.
+    // Received after the registration, but describes a time before it.
     state.reported(idle, cStart - 100ms);
     CHECK(state.isQuarantined("x@1"));
     state.reported(idle, cStart);
@@ -121,7 +121,7 @@
     CHECK_FALSE(state.isQuarantined("x@1"));
 }
 
-TEST_CASE("a run whose end was not seen keeps its adapter in use until a later report")
+TEST_CASE("a run whose end was not seen quarantines its adapter until a later report")
 {
     endpoint_ownership state;
     state.acquire();
@@ -137,7 +137,7 @@
     CHECK_FALSE(state.isQuarantined("x@1"));
 }
 
-TEST_CASE("a run that may still be on its way keeps its adapter in use until a new fencing number")
+TEST_CASE("a run that may be in transit quarantines its adapter until a new fencing number")
 {
     endpoint_ownership state;
     state.acquire();
@@ -155,7 +155,7 @@
     CHECK_FALSE(state.isQuarantined("x@1"));
 }
 
-TEST_CASE("an adapter that went away and came back by another instance is quarantined again")
+TEST_CASE("an adapter that is unloaded and loaded by another instance is quarantined again")
 {
     endpoint_ownership state;
     state.acquire();
@@ -165,7 +165,7 @@
     CHECK(state.isQuarantined("x@1"));
 }
 
-TEST_CASE("a lease record survives its text form, and broken text is refused")
+TEST_CASE("lease records round-trip through JSON, and invalid JSON is rejected")
 {
     const lease_record record{.endpoint = "e",
                               .instance = "i",
@@ -190,12 +190,12 @@
     CHECK(table.find("e")->record.instance == "a");
     CHECK_FALSE(table.isExpired("e", cStart + 11s));
     CHECK(table.isExpired("e", cStart + 12s));
-    // Read again after a reconnect: nothing changes.
+    // Reading the record again after a reconnect changes nothing.
     CHECK_FALSE(table.apply(1, first, cStart + 5s));
     CHECK(table.isExpired("e", cStart + 12s));
 }
 
-TEST_CASE("a reader that starts in the middle of the log agrees with one that read all of it")
+TEST_CASE("a reader that starts in the middle of the log agrees with one that read the whole log")
 {
     const std::vector<lease_record> records{
         {.endpoint = "e", .instance = "a", .replaces = 0, .length = 10s},
@@ -251,7 +251,7 @@
     CHECK_FALSE(own.propose(table, cStart + 1s).has_value());
     const auto second = own.propose(table, cStart + 2s);
     REQUIRE(second.has_value());
-    // Both reached the log; the first one is valid.
+    // Both records reach the log; the first one is valid.
     CHECK(table.apply(1, *first, cStart + 3s));
     CHECK_FALSE(table.apply(2, *second, cStart + 3s));
     own.observe(table, cStart + 3s);
@@ -273,7 +273,7 @@
     CHECK(next->replaces == 1);
 }
 
-TEST_CASE("an instance that restarted waits for the lease of its earlier incarnation")
+TEST_CASE("a restarted instance waits until the lease of its earlier incarnation expires")
 {
     lease_table table;
     table.apply(1, {.endpoint = "e", .instance = "a", .incarnation = 1, .length = 10s}, cStart);
@@ -282,7 +282,7 @@
     CHECK(own.propose(table, cStart + 12s).has_value());
 }
 
-TEST_CASE("no two instances hold a lease at the same time, whatever the log delays or loses")
+TEST_CASE("no two instances hold a lease at once under delayed appends and lost answers")
 {
     for (unsigned seed = 0; seed < 200; ++seed) {
         std::mt19937 random(seed);
@@ -311,7 +311,7 @@
                     continue;
                 if (random() % 500 == 0)
                     entry.pausedUntil = now + std::chrono::milliseconds(random() % 5000);
-                // Reads lag and come in parts.
+                // Reads are delayed and return parts of the log.
                 if (random() % 4 == 0) {
                     for (; entry.read < log.size() && random() % 8 != 0; ++entry.read)
                         entry.table.apply(entry.read + 1, log[entry.read], now);
