--- a/corneltally/claims/append_batcher.cpp
+++ b/corneltally/claims/append_batcher.cpp
@@ -32,9 +32,9 @@
     });
     if (found == mQueue.end())
         return false;
-    const bool mayAppear = found->maySent;
+    const bool mayBeOnLog = found->mayBeOnLog;
     mQueue.erase(found);
-    return !mayAppear;
+    return !mayBeOnLog;
 }
 
 std::optional<claim_batch> append_batcher::poll(core::time_point inNow)
@@ -44,18 +44,18 @@
         return std::nullopt;
     claim_batch batch{.id = mIdPrefix + "-" + std::to_string(mNextId++)};
     std::size_t bytes = 0;
-    mMaySent = false;
+    mMayBeOnLog = false;
     while (!mQueue.empty() && batch.records.size() < cMaxRecords) {
         bytes += bytesOf(mQueue.front().record);
         if (bytes > cMaxBytes && !batch.records.empty())
             break;
-        mMaySent = mMaySent || mQueue.front().maySent;
+        mMayBeOnLog = mMayBeOnLog || mQueue.front().mayBeOnLog;
         batch.records.push_back(std::move(mQueue.front().record));
         mQueue.pop_front();
     }
     mInFlight = batch;
     mSentAt = inNow;
-    mUncertainSince.reset();
+    mAnswerLostAt.reset();
     return batch;
 }
 
@@ -71,13 +71,13 @@
         requeue(inNow);
 }
 
-void append_batcher::unknown(std::string_view inBatchId, core::time_point inNow)
+void append_batcher::answerLost(std::string_view inBatchId, core::time_point inNow)
 {
     if (isInFlight(inBatchId))
-        mUncertainSince = inNow;
+        mAnswerLostAt = inNow;
 }
 
-void append_batcher::seen(const claim_batch &inBatch)
+void append_batcher::batchRead(const claim_batch &inBatch)
 {
     if (isInFlight(inBatch.id)) {
         finish();
@@ -85,14 +85,14 @@
     }
     // A late effect of an append whose records were queued again.
     std::erase_if(mQueue, [&](const queued_record &inItem) {
-        return inItem.maySent
+        return inItem.mayBeOnLog
             && std::ranges::find(inBatch.records, inItem.record) != inBatch.records.end();
     });
 }
 
 void append_batcher::readToEnd(core::time_point inSentAt, core::time_point inNow)
 {
-    if (mInFlight && mUncertainSince && inSentAt >= *mUncertainSince)
+    if (mInFlight && mAnswerLostAt && inSentAt >= *mAnswerLostAt)
         requeue(inNow);
 }
 
@@ -113,19 +113,20 @@
 void append_batcher::finish()
 {
     mInFlight.reset();
-    mUncertainSince.reset();
+    mAnswerLostAt.reset();
     mFailures = 0;
     mRetryDelay = cMinRetryDelay;
 }
 
 void append_batcher::requeue(core::time_point inNow)
 {
-    const bool mayAppear = mMaySent || mUncertainSince.has_value();
+    const bool mayBeOnLog = mMayBeOnLog || mAnswerLostAt.has_value();
     std::vector<claim_record> records = std::move(mInFlight->records);
     mInFlight.reset();
-    mUncertainSince.reset();
+    mAnswerLostAt.reset();
     for (auto record = records.rbegin(); record != records.rend(); ++record)
-        mQueue.push_front({.record = std::move(*record), .addedAt = mSentAt, .maySent = mayAppear});
+        mQueue.push_front(
+            {.record = std::move(*record), .addedAt = mSentAt, .mayBeOnLog = mayBeOnLog});
     ++mFailures;
     mNotBefore = inNow + mRetryDelay;
     mRetryDelay = std::min(mRetryDelay * 2, cMaxRetryDelay);
--- a/corneltally/claims/append_batcher.h
+++ b/corneltally/claims/append_batcher.h
@@ -45,15 +45,15 @@
     /// Certain: the batch is not on the log.
     void refused(std::string_view inBatchId, core::time_point inNow);
     /// The answer was lost.
-    void unknown(std::string_view inBatchId, core::time_point inNow);
+    void answerLost(std::string_view inBatchId, core::time_point inNow);
 
     /// A batch was read from the stream.
-    void seen(const claim_batch &inBatch);
+    void batchRead(const claim_batch &inBatch);
     /// All records up to the end of the stream were read; the read was sent at inSentAt.
     void readToEnd(core::time_point inSentAt, core::time_point inNow);
 
     /// An answer was lost and the stream has to be read to its end.
-    bool needsRead() const { return mInFlight && mUncertainSince.has_value(); }
+    bool needsRead() const { return mInFlight && mAnswerLostAt.has_value(); }
 
     /// When to poll next; none while there is nothing to send or an append is in flight.
     std::optional<core::time_point> nextPoll() const;
@@ -69,7 +69,7 @@
     {
         claim_record record;
         core::time_point addedAt;
-        bool maySent = false;
+        bool mayBeOnLog = false;
     };
 
     void finish();
@@ -84,9 +84,9 @@
     std::deque<queued_record> mQueue;
     std::optional<claim_batch> mInFlight;
     core::time_point mSentAt;
-    std::optional<core::time_point> mUncertainSince;
+    std::optional<core::time_point> mAnswerLostAt;
     /// An earlier append of a record of the batch may still take effect.
-    bool mMaySent = false;
+    bool mMayBeOnLog = false;
     core::time_point mNotBefore;
     core::duration mRetryDelay = cMinRetryDelay;
     int mFailures = 0;
--- a/corneltally/claims/claim_coordinator.cpp
+++ b/corneltally/claims/claim_coordinator.cpp
@@ -10,9 +10,9 @@
 using namespace std::chrono_literals;
 
 /// A cancellation arrives long before this time after the deadline.
-constexpr core::duration cGrantMemory = 30s;
-constexpr core::duration cCatchUpRetry = 1s;
-constexpr core::duration cOutageRetry = 2s;
+constexpr core::duration cGrantRetention = 30s;
+constexpr core::duration cCatchUpRetryAfter = 1s;
+constexpr core::duration cOutageRetryAfter = 2s;
 /// One lost append is resolved within a round trip; two in a row are an outage of writes.
 constexpr int cMaxFailures = 2;
 
@@ -36,11 +36,13 @@
                               core::time_point inNow)
 {
     if (!mCaughtUp) {
-        refuse(inRequestId, "the claims stream has not been read yet", cCatchUpRetry);
+        refuse(inRequestId, "the claims stream has not been read yet", cCatchUpRetryAfter);
     } else if (!mReadable || !isWritable(inNow)) {
-        refuse(inRequestId, "the log that orders idempotency keys cannot be reached", cOutageRetry);
+        refuse(inRequestId, "the log that orders idempotency keys cannot be reached",
+               cOutageRetryAfter);
     } else if (mPending.size() >= cMaxPending) {
-        refuse(inRequestId, "too many requests wait for their idempotency keys", cCatchUpRetry);
+        refuse(inRequestId, "too many requests wait for their idempotency keys",
+               cCatchUpRetryAfter);
     } else {
         const auto [added, isNew] = mPending.insert_or_assign(
             inRequestId,
@@ -90,8 +92,8 @@
                                  core::time_point inSentAt, core::time_point inNow)
 {
     mReadable = true;
-    if (!mStartEnd)
-        mStartEnd = inNext;
+    if (!mCatchUpEnd)
+        mCatchUpEnd = inNext;
     for (const stream_record &record : inRecords) {
         if (record.offset < mPosition)
             continue;
@@ -100,7 +102,7 @@
         if (!batch)
             continue;
         const auto effects = mTable.apply(record.offset, record.timeMs, *batch);
-        mBatcher.seen(*batch);
+        mBatcher.batchRead(*batch);
         for (std::size_t index = 0; index < effects.size(); ++index)
             applyRecord(batch->records[index], effects[index], inNow);
     }
@@ -108,7 +110,7 @@
     if (inRecords.empty())
         mPosition = std::max(mPosition, inNext);
     mLatestReadAt = inNow;
-    mCaughtUp = mCaughtUp || mPosition >= *mStartEnd;
+    mCaughtUp = mCaughtUp || mPosition >= *mCatchUpEnd;
     if (mPosition >= inNext)
         mBatcher.readToEnd(inSentAt, inNow);
 }
@@ -118,25 +120,25 @@
     // Claims may have been missed, so that the state is built again from what the log still has.
     const bool hadRead = mPosition > 0;
     mPosition = inFirst;
-    mStartEnd.reset();
+    mCatchUpEnd.reset();
     mCaughtUp = false;
     if (!hadRead)
         return;
     mTable.clear();
-    refuseClaiming("the claims stream has to be read again", cCatchUpRetry);
+    refuseClaiming("the claims stream has to be read again", cCatchUpRetryAfter);
 }
 
 void claim_coordinator::readFailed(core::time_point)
 {
     mReadable = false;
-    refuseClaiming("the log that orders idempotency keys cannot be read", cOutageRetry);
+    refuseClaiming("the log that orders idempotency keys cannot be read", cOutageRetryAfter);
 }
 
 claim_coordinator::actions claim_coordinator::poll(core::time_point inNow)
 {
     actions result;
     checkAppends(inNow);
-    giveUpOverdue(inNow);
+    expirePending(inNow);
     result.append = mBatcher.poll(inNow);
     result.readNow = mBatcher.needsRead();
     result.results.swap(mResults);
@@ -146,7 +148,7 @@
     };
     wakeBy(mBatcher.nextPoll());
     if (const auto sentAt = mBatcher.sentAt(); sentAt && !mPending.empty())
-        wakeBy(std::max(*sentAt + cAppendPatience, inNow + 100ms));
+        wakeBy(std::max(*sentAt + cAppendTimeout, inNow + 100ms));
     for (const auto &[id, request] : mPending)
         wakeBy(request.deadline);
     return result;
@@ -162,7 +164,7 @@
 
 void claim_coordinator::claimOrWait(pending_map::iterator inPending, core::time_point inNow)
 {
-    if (decideByHolder(inPending, inNow))
+    if (answerFromHolder(inPending, inNow))
         return;
     pending_request &request = inPending->second;
     request.claimId.clear();
@@ -180,7 +182,7 @@
 }
 
 /// Answers a request if the holder of its key decides it.
-bool claim_coordinator::decideByHolder(pending_map::iterator inPending, core::time_point inNow)
+bool claim_coordinator::answerFromHolder(pending_map::iterator inPending, core::time_point inNow)
 {
     const pending_request &request = inPending->second;
     const claim_holder *holder = mTable.find(request.key, logTimeMs(inNow));
@@ -243,13 +245,14 @@
         claimOrWait(found, inNow);
     } else if (inNow >= found->second.deadline) {
         addRelease(inRecord.key, inRecord.claimId, inNow);
-        refuse(found->first, "the idempotency key was not ordered in time", cCatchUpRetry);
+        refuse(found->first, "the idempotency key was not ordered in time", cCatchUpRetryAfter);
         mPending.erase(found);
     } else {
-        mGranted.insert_or_assign(found->first,
-                                  granted_claim{.key = inRecord.key,
-                                                .claimId = inRecord.claimId,
-                                                .forgetAt = found->second.deadline + cGrantMemory});
+        mGranted.insert_or_assign(
+            found->first,
+            granted_claim{.key = inRecord.key,
+                          .claimId = inRecord.claimId,
+                          .expiresAt = found->second.deadline + cGrantRetention});
         answer(found, {.verdict = claim_verdict::granted, .claimId = inRecord.claimId});
     }
 }
@@ -296,7 +299,7 @@
     }
 }
 
-void claim_coordinator::giveUpOverdue(core::time_point inNow)
+void claim_coordinator::expirePending(core::time_point inNow)
 {
     for (auto item = mPending.begin(); item != mPending.end();) {
         const auto current = item++;
@@ -311,25 +314,26 @@
                               "the application; do not use a new key"}});
         } else {
             mBatcher.withdraw(current->second.claimId);
-            refuse(current->first, "the idempotency key was not ordered in time", cCatchUpRetry);
+            refuse(current->first, "the idempotency key was not ordered in time",
+                   cCatchUpRetryAfter);
             mPending.erase(current);
         }
     }
-    std::erase_if(mGranted, [&](const auto &inItem) { return inItem.second.forgetAt <= inNow; });
+    std::erase_if(mGranted, [&](const auto &inItem) { return inItem.second.expiresAt <= inNow; });
 }
 
 /// Refuses claims for a while when the log cannot be written.
 void claim_coordinator::checkAppends(core::time_point inNow)
 {
     const auto sentAt = mBatcher.sentAt();
-    const bool isSilent = sentAt && inNow - *sentAt >= cAppendPatience;
+    const bool hasTimedOut = sentAt && inNow - *sentAt >= cAppendTimeout;
     const int failures = mBatcher.failures();
     const bool hasFailed = failures >= cMaxFailures && failures != mFailuresSeen;
     mFailuresSeen = failures;
-    if (!isSilent && !hasFailed)
+    if (!hasTimedOut && !hasFailed)
         return;
     mRefuseUntil = inNow + cRefusalTime;
-    refuseClaiming("the log that orders idempotency keys cannot be written", cOutageRetry);
+    refuseClaiming("the log that orders idempotency keys cannot be written", cOutageRetryAfter);
 }
 
 void claim_coordinator::addRelease(const std::string &inKey, const std::string &inClaimId,
--- a/corneltally/claims/claim_coordinator.h
+++ b/corneltally/claims/claim_coordinator.h
@@ -35,7 +35,7 @@
     static constexpr std::size_t cMaxPending = 4096;
     /// An append without an answer or a trace on the stream for this long says that the log cannot
     /// be written.
-    static constexpr core::duration cAppendPatience = std::chrono::seconds(3);
+    static constexpr core::duration cAppendTimeout = std::chrono::seconds(3);
     /// How long claims are refused after appends failed, before the log is tried again.
     static constexpr core::duration cRefusalTime = std::chrono::seconds(1);
 
@@ -108,14 +108,14 @@
     {
         std::string key;
         std::string claimId;
-        core::time_point forgetAt;
+        core::time_point expiresAt;
     };
     using pending_map = std::map<std::string, pending_request>;
 
     bool isWritable(core::time_point inNow) const { return inNow >= mRefuseUntil; }
     std::int64_t logTimeMs(core::time_point inNow) const;
     void claimOrWait(pending_map::iterator inPending, core::time_point inNow);
-    bool decideByHolder(pending_map::iterator inPending, core::time_point inNow);
+    bool answerFromHolder(pending_map::iterator inPending, core::time_point inNow);
     void applyRecord(const claim_record &inRecord, claim_table::effect inEffect,
                      core::time_point inNow);
     void applyOwnClaim(const claim_record &inRecord, bool inHeld, core::time_point inNow);
@@ -123,7 +123,7 @@
     void answer(pending_map::iterator inPending, result inResult);
     void refuse(const std::string &inRequestId, std::string inMessage, core::duration inRetryAfter);
     void refuseClaiming(const std::string &inMessage, core::duration inRetryAfter);
-    void giveUpOverdue(core::time_point inNow);
+    void expirePending(core::time_point inNow);
     void checkAppends(core::time_point inNow);
     void addRelease(const std::string &inKey, const std::string &inClaimId, core::time_point inNow);
 
@@ -136,7 +136,7 @@
     std::map<std::string, granted_claim> mGranted;
     std::vector<result> mResults;
     std::uint64_t mPosition = 0;
-    std::optional<std::uint64_t> mStartEnd;
+    std::optional<std::uint64_t> mCatchUpEnd;
     bool mCaughtUp = false;
     bool mReadable = false;
     core::time_point mLatestReadAt;
--- a/corneltally/claims/claim_table.cpp
+++ b/corneltally/claims/claim_table.cpp
@@ -20,7 +20,7 @@
 {
     // The clock of the log may be set back; a window that was over stays over.
     mLatestMs = std::max(mLatestMs, inTimeMs);
-    forgetExpired();
+    removeExpired();
     std::vector<effect> effects;
     effects.reserve(inBatch.records.size());
     for (const claim_record &record : inBatch.records) {
@@ -105,7 +105,7 @@
     return effect::done;
 }
 
-void claim_table::forgetExpired()
+void claim_table::removeExpired()
 {
     while (!mByTime.empty() && mByTime.front().first + mWindow.count() <= mLatestMs) {
         const auto found = mKeys.find(mByTime.front().second);
--- a/corneltally/claims/claim_table.h
+++ b/corneltally/claims/claim_table.h
@@ -89,7 +89,7 @@
     effect applyClaim(const claim_record &inRecord, std::uint64_t inOffset);
     effect applyRelease(const claim_record &inRecord);
     effect applyDone(const claim_record &inRecord);
-    void forgetExpired();
+    void removeExpired();
 
     std::chrono::milliseconds mWindow;
     std::int64_t mLatestMs = 0;
--- a/corneltally/entry/claims_service.h
+++ b/corneltally/entry/claims_service.h
@@ -260,7 +260,7 @@
         break;
     case platform::append_outcome::unknown:
         ++mAppendsUnknown;
-        mClaims.batcher().unknown(inBatchId, now);
+        mClaims.batcher().answerLost(inBatchId, now);
         break;
     }
 }
@@ -271,7 +271,7 @@
     // Calls from before the pause may never be answered. An append may have taken effect.
     mLog->cancelAll();
     mProbing = false;
-    mClaims.batcher().unknown(mAppending, core::boot_clock::now());
+    mClaims.batcher().answerLost(mAppending, core::boot_clock::now());
     readStream();
     poll();
 }
--- a/tests/unit/claims_append_batcher_test.cpp
+++ b/tests/unit/claims_append_batcher_test.cpp
@@ -60,12 +60,12 @@
     batcher.add(claimOf("c1"), cStart);
     const auto batch = batcher.poll(cStart + 20ms);
     REQUIRE(batch);
-    batcher.unknown(batch->id, cStart + 30ms);
+    batcher.answerLost(batch->id, cStart + 30ms);
     CHECK(batcher.needsRead());
     CHECK_FALSE(batcher.poll(cStart + 10s));
     SECTION("the append took effect")
     {
-        batcher.seen(*batch);
+        batcher.batchRead(*batch);
         batcher.readToEnd(cStart + 31ms, cStart + 40ms);
         CHECK_FALSE(batcher.poll(cStart + 10s));
         CHECK(batcher.queued() == 0);
@@ -86,7 +86,7 @@
     SECTION("the append takes effect after it was given up")
     {
         batcher.readToEnd(cStart + 31ms, cStart + 40ms);
-        batcher.seen(*batch);
+        batcher.batchRead(*batch);
         CHECK(batcher.queued() == 0);
     }
 }
@@ -96,10 +96,10 @@
     append_batcher batcher("entry-1-7");
     batcher.add(claimOf("c1"), cStart);
     const auto first = batcher.poll(cStart + 20ms);
-    batcher.seen(*first);
+    batcher.batchRead(*first);
     batcher.add(claimOf("c2"), cStart + 30ms);
     const auto second = batcher.poll(cStart + 50ms);
-    batcher.unknown(first->id, cStart + 60ms);
+    batcher.answerLost(first->id, cStart + 60ms);
     batcher.refused(first->id, cStart + 60ms);
     CHECK_FALSE(batcher.needsRead());
     CHECK(batcher.sentAt() == cStart + 50ms);
@@ -115,7 +115,7 @@
     const auto batch = batcher.poll(cStart + 20ms);
     REQUIRE(batch->records.size() == 1);
     CHECK_FALSE(batcher.withdraw("c2"));
-    batcher.unknown(batch->id, cStart + 30ms);
+    batcher.answerLost(batch->id, cStart + 30ms);
     batcher.readToEnd(cStart + 31ms, cStart + 32ms);
     CHECK_FALSE(batcher.withdraw("c2"));
     CHECK(batcher.queued() == 0);
--- a/tests/unit/claims_claim_coordinator_test.cpp
+++ b/tests/unit/claims_claim_coordinator_test.cpp
@@ -426,7 +426,7 @@
             });
         mEvents.emplace(mNow + 70ms + delay(), [this, inFrom, inBatch, answerLost, late] {
             if (answerLost || late)
-                inFrom->claims.batcher().unknown(inBatch.id, local());
+                inFrom->claims.batcher().answerLost(inBatch.id, local());
             else
                 inFrom->claims.batcher().appended(inBatch.id);
         });
