--- a/corneltally/claims/append_batcher.cpp
+++ b/corneltally/claims/append_batcher.cpp
@@ -83,7 +83,7 @@
         finish();
         return;
     }
-    // A late effect of an append whose records were queued again.
+    // An earlier append took effect late; its records are queued again and need not be sent.
     std::erase_if(mQueue, [&](const queued_record &inItem) {
         return inItem.mayBeOnLog
             && std::ranges::find(inBatch.records, inItem.record) != inBatch.records.end();
--- a/corneltally/claims/claim_coordinator.cpp
+++ b/corneltally/claims/claim_coordinator.cpp
@@ -9,11 +9,11 @@
 
 using namespace std::chrono_literals;
 
-/// A cancellation arrives long before this time after the deadline.
+/// Time after the deadline for which grants are kept; a late cancellation arrives long before.
 constexpr core::duration cGrantRetention = 30s;
 constexpr core::duration cCatchUpRetryAfter = 1s;
 constexpr core::duration cOutageRetryAfter = 2s;
-/// One lost append is resolved within a round trip; two in a row are an outage of writes.
+/// One lost append is resolved within a round trip; two in a row count as a write outage.
 constexpr int cMaxFailures = 2;
 
 } // namespace
@@ -38,10 +38,9 @@
     if (!mCaughtUp) {
         refuse(inRequestId, "the claims stream has not been read yet", cCatchUpRetryAfter);
     } else if (!mReadable || !isWritable(inNow)) {
-        refuse(inRequestId, "the log that orders idempotency keys cannot be reached",
-               cOutageRetryAfter);
+        refuse(inRequestId, "the claims log cannot be reached", cOutageRetryAfter);
     } else if (mPending.size() >= cMaxPending) {
-        refuse(inRequestId, "too many requests wait for their idempotency keys",
+        refuse(inRequestId, "too many requests are waiting for idempotency keys",
                cCatchUpRetryAfter);
     } else {
         const auto [added, isNew] = mPending.insert_or_assign(
@@ -58,10 +57,10 @@
     if (pending != mPending.end()) {
         mBatcher.withdraw(pending->second.claimId);
         mPending.erase(pending);
-        refuse(inRequestId, "the request was given up", 0s);
+        refuse(inRequestId, "the request was cancelled", 0s);
         return;
     }
-    // The grant and the cancellation crossed each other.
+    // The cancellation was sent before the grant arrived.
     const auto granted = mGranted.find(inRequestId);
     if (granted == mGranted.end())
         return;
@@ -106,7 +105,7 @@
         for (std::size_t index = 0; index < effects.size(); ++index)
             applyRecord(batch->records[index], effects[index], inNow);
     }
-    // Offsets need not start at 0, and an empty stream has no record to tell where they do.
+    // Offsets need not start at 0, and an empty stream has no record that shows where they start.
     if (inRecords.empty())
         mPosition = std::max(mPosition, inNext);
     mLatestReadAt = inNow;
@@ -117,7 +116,7 @@
 
 void claim_coordinator::pageExpired(std::uint64_t inFirst)
 {
-    // Claims may have been missed, so that the state is built again from what the log still has.
+    // Claims may have been missed, so the state is rebuilt from the records that the log still has.
     const bool hadRead = mPosition > 0;
     mPosition = inFirst;
     mCatchUpEnd.reset();
@@ -125,13 +124,14 @@
     if (!hadRead)
         return;
     mTable.clear();
-    refuseClaiming("the claims stream has to be read again", cCatchUpRetryAfter);
+    refuseClaiming("records of the claims stream expired before they were read",
+                   cCatchUpRetryAfter);
 }
 
 void claim_coordinator::readFailed(core::time_point)
 {
     mReadable = false;
-    refuseClaiming("the log that orders idempotency keys cannot be read", cOutageRetryAfter);
+    refuseClaiming("the claims log cannot be read", cOutageRetryAfter);
 }
 
 claim_coordinator::actions claim_coordinator::poll(core::time_point inNow)
@@ -156,7 +156,7 @@
 
 std::int64_t claim_coordinator::logTimeMs(core::time_point inNow) const
 {
-    // The latest record may be older than its reading; then keys are held a little longer.
+    // The latest record may be older than the time it was read; keys are then held slightly longer.
     const core::duration since = inNow - mLatestReadAt;
     return mTable.latestTimeMs()
         + std::chrono::duration_cast<std::chrono::milliseconds>(since).count();
@@ -181,7 +181,7 @@
                  inNow);
 }
 
-/// Answers a request if the holder of its key decides it.
+/// Answers a request if the state of the key's holder decides it. Returns whether it did.
 bool claim_coordinator::answerFromHolder(pending_map::iterator inPending, core::time_point inNow)
 {
     const pending_request &request = inPending->second;
@@ -202,8 +202,8 @@
     } else if (holder->done) {
         decided.verdict = claim_verdict::unknown;
         decided.error = {core::error_kind::conflict,
-                         "the request with this idempotency key completed; its answer was too long "
-                         "to be kept",
+                         "the request with this idempotency key completed, but its answer was too "
+                         "long to be stored",
                          "look up the result at the application; do not send it under a new key"};
     } else {
         return false;
@@ -236,7 +236,7 @@
     const auto found = std::ranges::find_if(
         mPending, [&](const auto &inItem) { return inItem.second.claimId == inRecord.claimId; });
     if (found == mPending.end()) {
-        // Its request was given up meanwhile.
+        // Its request was cancelled or refused in the meantime.
         if (inHeld)
             addRelease(inRecord.key, inRecord.claimId, inNow);
         return;
@@ -245,7 +245,8 @@
         claimOrWait(found, inNow);
     } else if (inNow >= found->second.deadline) {
         addRelease(inRecord.key, inRecord.claimId, inNow);
-        refuse(found->first, "the idempotency key was not ordered in time", cCatchUpRetryAfter);
+        refuse(found->first, "the idempotency key could not be claimed in time",
+               cCatchUpRetryAfter);
         mPending.erase(found);
     } else {
         mGranted.insert_or_assign(
@@ -257,7 +258,7 @@
     }
 }
 
-/// The holder of a key finished or released it: requests that wait for it go on.
+/// Continues the requests that wait for a key after its holder finished or released it.
 void claim_coordinator::keyChanged(const std::string &inKey, core::time_point inNow)
 {
     for (auto item = mPending.begin(); item != mPending.end();) {
@@ -285,8 +286,8 @@
                         .retryAfter = inRetryAfter});
 }
 
-/// Refuses the requests whose claims are on their way; a claim that still takes effect is released
-/// when it is read. Requests that wait for another holder go on waiting.
+/// Refuses the requests whose claims are queued or in flight. A claim that still takes effect is
+/// released when it is read. Requests that wait for another holder continue to wait.
 void claim_coordinator::refuseClaiming(const std::string &inMessage, core::duration inRetryAfter)
 {
     for (auto item = mPending.begin(); item != mPending.end();) {
@@ -314,7 +315,7 @@
                               "the application; do not use a new key"}});
         } else {
             mBatcher.withdraw(current->second.claimId);
-            refuse(current->first, "the idempotency key was not ordered in time",
+            refuse(current->first, "the idempotency key could not be claimed in time",
                    cCatchUpRetryAfter);
             mPending.erase(current);
         }
@@ -322,7 +323,7 @@
     std::erase_if(mGranted, [&](const auto &inItem) { return inItem.second.expiresAt <= inNow; });
 }
 
-/// Refuses claims for a while when the log cannot be written.
+/// Refuses claims for cRefusalTime if the log cannot be written.
 void claim_coordinator::checkAppends(core::time_point inNow)
 {
     const auto sentAt = mBatcher.sentAt();
@@ -333,7 +334,7 @@
     if (!hasTimedOut && !hasFailed)
         return;
     mRefuseUntil = inNow + cRefusalTime;
-    refuseClaiming("the log that orders idempotency keys cannot be written", cOutageRetryAfter);
+    refuseClaiming("the claims log cannot be written", cOutageRetryAfter);
 }
 
 void claim_coordinator::addRelease(const std::string &inKey, const std::string &inClaimId,
--- a/corneltally/claims/claim_coordinator.h
+++ b/corneltally/claims/claim_coordinator.h
@@ -15,10 +15,10 @@
 
 namespace corneltally::claims {
 
-/// How a request's claim was decided.
+/// Result of a request's claim.
 enum class claim_verdict : std::uint8_t { granted, answered, conflict, unknown, refused };
 
-/// A record of the claims stream as it was read.
+/// A record of the claims stream as read from the log.
 struct stream_record
 {
     std::uint64_t offset = 0;
@@ -26,17 +26,18 @@
     std::string data;
 };
 
-/// The claims of one instance: claims keys for requests, waits for other holders, and releases what
-/// it holds for nobody. A request is granted only after its claim was read back as the holder.
+/// Manages the claims of one instance: claims idempotency keys for requests, waits for other
+/// holders, and releases claims whose requests are gone. A request is granted only after its claim
+/// was read back from the log as the holder of the key.
 class claim_coordinator
 {
 public:
-    /// Requests that may wait for their claims; more are refused at once.
+    /// Limit of requests that wait for their claims; further ones are refused at once.
     static constexpr std::size_t cMaxPending = 4096;
-    /// An append without an answer or a trace on the stream for this long says that the log cannot
-    /// be written.
+    /// The log counts as not writable if an append neither is answered nor appears on the stream
+    /// for this long.
     static constexpr core::duration cAppendTimeout = std::chrono::seconds(3);
-    /// How long claims are refused after appends failed, before the log is tried again.
+    /// Time for which claims are refused after appends failed, before the log is tried again.
     static constexpr core::duration cRefusalTime = std::chrono::seconds(1);
 
     struct result
@@ -44,7 +45,7 @@
         std::string requestId;
         claim_verdict verdict = claim_verdict::refused;
         std::string claimId;
-        /// Answer of the holder.
+        /// The stored answer of the holder, if the claim was answered.
         int status = 0;
         std::string contentType;
         std::string body;
@@ -57,7 +58,7 @@
     {
         std::vector<result> results;
         std::optional<claim_batch> append;
-        /// The stream should be read now, without waiting for new records.
+        /// Whether to read the stream now, without waiting for new records.
         bool readNow = false;
         std::optional<core::time_point> wakeAt;
     };
@@ -70,15 +71,16 @@
     void begin(const std::string &inRequestId, const std::string &inKey,
                const std::string &inRequestDigest, core::time_point inDeadline,
                core::time_point inNow);
-    /// The request was given up before its result was acted on: it will not be dispatched.
+    /// Cancels a request before its result was acted on; it will not be dispatched.
     void cancel(const std::string &inRequestId, core::time_point inNow);
     void finish(claim_record inDone, core::time_point inNow);
     void release(const std::string &inKey, const std::string &inClaimId, core::time_point inNow);
 
-    /// A page of the stream; the read was sent at inSentAt. inNext is the end of the stream.
+    /// Applies a page of the stream; the read was sent at inSentAt. inNext is the end of the
+    /// stream.
     void pageRead(const std::vector<stream_record> &inRecords, std::uint64_t inNext,
                   core::time_point inSentAt, core::time_point inNow);
-    /// Records before inFirst are not kept any more: what was read before is forgotten.
+    /// Called when the records before inFirst expired from the log; drops all state read before.
     void pageExpired(std::uint64_t inFirst);
     void readFailed(core::time_point inNow);
 
@@ -89,7 +91,7 @@
 
     /// Offset to read from.
     std::uint64_t position() const { return mPosition; }
-    /// Whether the stream was read to the end that was seen first.
+    /// Whether the stream was read up to the end that the first page reported.
     bool isCaughtUp() const { return mCaughtUp; }
     bool isLogReachable() const { return mReadable; }
     std::size_t pending() const { return mPending.size(); }
@@ -101,7 +103,7 @@
         std::string key;
         std::string requestDigest;
         core::time_point deadline;
-        /// Of the claim that is on its way; empty while another claim holds the key.
+        /// Id of the claim that is queued or in flight; empty while another claim holds the key.
         std::string claimId;
     };
     struct granted_claim
--- a/corneltally/claims/claim_record.cpp
+++ b/corneltally/claims/claim_record.cpp
@@ -60,7 +60,7 @@
         entry["action"] = "done";
         entry["status"] = inRecord.status;
         entry["content_type"] = inRecord.contentType;
-        // JSON strings hold Unicode only; bodies may be any bytes.
+        // JSON strings can contain only Unicode; bodies may be arbitrary bytes.
         if (isAscii(inRecord.body))
             entry["body"] = inRecord.body;
         else
@@ -114,7 +114,8 @@
     json records = json::array();
     for (const claim_record &record : inBatch.records)
         records.push_back(toJson(record));
-    // A content type that is not UTF-8 must not end the process by an exception.
+    // By default, dump() throws for a content type that is not valid UTF-8, which would end the
+    // process.
     return json{{"batch", inBatch.id}, {"records", std::move(records)}}.dump(
         -1, ' ', false, json::error_handler_t::replace);
 }
--- a/corneltally/claims/claim_table.cpp
+++ b/corneltally/claims/claim_table.cpp
@@ -18,7 +18,7 @@
 std::vector<claim_table::effect> claim_table::apply(std::uint64_t inOffset, std::int64_t inTimeMs,
                                                     const claim_batch &inBatch)
 {
-    // The clock of the log may be set back; a window that was over stays over.
+    // The clock of the log may be set back; an expired window must stay expired.
     mLatestMs = std::max(mLatestMs, inTimeMs);
     removeExpired();
     std::vector<effect> effects;
@@ -65,7 +65,7 @@
     if (std::ranges::find(state.claimIds, inRecord.claimId) != state.claimIds.end())
         return effect::lost;
     state.claimIds.push_back(inRecord.claimId);
-    // A losing claim does not prolong the window of the holder.
+    // A claim that lost does not extend the window of the holder.
     if (state.holder)
         return effect::lost;
     state.claimedMs = mLatestMs;
--- a/corneltally/claims/claim_table.h
+++ b/corneltally/claims/claim_table.h
@@ -16,7 +16,7 @@
 
 namespace corneltally::claims {
 
-/// Who holds an idempotency key.
+/// The claim that holds an idempotency key, and its answer once it is done.
 struct claim_holder
 {
     std::string claimId;
@@ -34,15 +34,15 @@
 };
 
 /// Replay of the claims stream. Every reader of the same records gets the same state:
-/// - A claim takes the key if no other claim holds it at that offset. A claim that lost is never
-///   revived, since its claimant may be gone.
+/// - A claim gets the key if no other claim holds it at that offset. A claim that lost never gets
+///   the key later, since its claimant may be gone.
 /// - Only the first record with a claim id counts, so that a late duplicate of an earlier claim
-///   does not take the key again after its release.
-/// - A key is forgotten one claim window after its last claim, by the clock of the log.
+///   does not get the key again after its release.
+/// - A key expires one claim window after its last successful claim, by the clock of the log.
 class claim_table
 {
 public:
-    /// What a record changed.
+    /// Effect of a record.
     enum class effect : std::uint8_t {
         /// The claim holds the key.
         held,
@@ -50,7 +50,7 @@
         lost,
         released,
         done,
-        /// A release or done of a claim that does not hold the key, or a repeated one.
+        /// A release or done of a claim that does not hold the key, or that is already done.
         none,
     };
 
@@ -59,29 +59,29 @@
     /// Changes the window; it should be the same on all instances.
     void setWindow(std::chrono::milliseconds inWindow) { mWindow = inWindow; }
 
-    /// Forgets all records, before the stream is read again from its start.
+    /// Removes all keys, before the stream is read again from its start.
     void clear();
 
-    /// Applies the records of one log record in order; returns an effect for each.
+    /// Applies the records of a batch in order; returns an effect for each.
     std::vector<effect> apply(std::uint64_t inOffset, std::int64_t inTimeMs,
                               const claim_batch &inBatch);
 
-    /// The holder of a key, or nullptr if it is free. inTimeMs is the present time of the log, as
-    /// far as known.
+    /// Returns the holder of a key, or nullptr if the key is free. inTimeMs is the current time of
+    /// the log, as far as known.
     const claim_holder *find(std::string_view inKey, std::int64_t inTimeMs) const;
 
     /// Time of the latest record.
     std::int64_t latestTimeMs() const { return mLatestMs; }
     std::size_t size() const { return mKeys.size(); }
 
-    /// All holders by key, for comparison and the dump.
+    /// Returns all holders by key, for comparisons and the dump.
     std::map<std::string, claim_holder> holders() const;
 
 private:
     struct key_state
     {
         std::optional<claim_holder> holder;
-        /// Claim ids that were seen on the stream within the window.
+        /// Claim ids that were read from the stream within the window.
         std::vector<std::string> claimIds;
         std::int64_t claimedMs = 0;
     };
@@ -94,7 +94,7 @@
     std::chrono::milliseconds mWindow;
     std::int64_t mLatestMs = 0;
     std::unordered_map<std::string, key_state> mKeys;
-    /// Claims in order of time; a key is checked when its claim leaves the window.
+    /// Claim times and keys in order of time; a key is checked when its claim leaves the window.
     std::deque<std::pair<std::int64_t, std::string>> mByTime;
 };
 
--- a/tests/unit/claims_append_batcher_test.cpp
+++ b/tests/unit/claims_append_batcher_test.cpp
@@ -1,4 +1,4 @@
-// Guards against appends that are lost, sent more than once at a time, or never sent again.
+// Guards against appends that are lost, in flight more than once at a time, or never retried.
 
 #include "corneltally/claims/append_batcher.h"
 
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("records wait 20 ms for others, or until there are 64")
+TEST_CASE("a batch is sent after 20 ms or with 64 records")
 {
     append_batcher batcher("entry-1-7");
     batcher.add(claimOf("c0"), cStart);
@@ -54,7 +54,7 @@
     CHECK(batcher.queued() == 64 - batch->records.size());
 }
 
-TEST_CASE("a lost answer is resolved on the stream before the records are sent again")
+TEST_CASE("after a lost answer the stream is read before the records are sent again")
 {
     append_batcher batcher("entry-1-7");
     batcher.add(claimOf("c1"), cStart);
@@ -73,7 +73,7 @@
     }
     SECTION("the append took no effect")
     {
-        // A read from before the loss proves nothing.
+        // A read that was sent before the loss does not show whether the append took effect.
         batcher.readToEnd(cStart + 29ms, cStart + 35ms);
         CHECK_FALSE(batcher.poll(cStart + 10s));
         batcher.readToEnd(cStart + 31ms, cStart + 40ms);
@@ -83,7 +83,7 @@
         REQUIRE(again);
         CHECK(again->records == batch->records);
     }
-    SECTION("the append takes effect after it was given up")
+    SECTION("the append takes effect after its records were queued again")
     {
         batcher.readToEnd(cStart + 31ms, cStart + 40ms);
         batcher.batchRead(*batch);
@@ -91,7 +91,7 @@
     }
 }
 
-TEST_CASE("answers to earlier batches change nothing")
+TEST_CASE("answers to earlier batches are ignored")
 {
     append_batcher batcher("entry-1-7");
     batcher.add(claimOf("c1"), cStart);
@@ -105,7 +105,7 @@
     CHECK(batcher.sentAt() == cStart + 50ms);
 }
 
-TEST_CASE("a queued claim can be withdrawn, but not proved absent once it was sent")
+TEST_CASE("a queued claim can be withdrawn; once sent, it may still appear on the stream")
 {
     append_batcher batcher("entry-1-7");
     batcher.add(claimOf("c1"), cStart);
@@ -121,7 +121,7 @@
     CHECK(batcher.queued() == 0);
 }
 
-TEST_CASE("refused appends are repeated with growing delays")
+TEST_CASE("refused appends are retried with exponential delays")
 {
     append_batcher batcher("entry-1-7");
     batcher.add(claimOf("c1"), cStart);
--- a/tests/unit/claims_claim_coordinator_test.cpp
+++ b/tests/unit/claims_claim_coordinator_test.cpp
@@ -1,5 +1,5 @@
-// Guards against requests with one idempotency key that run twice or block each other for good,
-// and against keyed requests that are granted without their claim on the log.
+// Guards against requests with the same idempotency key that run twice or block each other forever,
+// and against requests that are granted without their claim on the log.
 
 #include "corneltally/claims/claim_coordinator.h"
 
@@ -26,7 +26,7 @@
     return std::string(inPrefix).append(std::to_string(inNumber));
 }
 
-/// One coordinator with a log that works unless a test says otherwise.
+/// One coordinator and a log without faults, unless a test injects them.
 struct single
 {
     claim_coordinator claims{"entry-1", 7, 1h};
@@ -59,7 +59,7 @@
             results[result.requestId] = result;
         return actions.append;
     }
-    /// Lets queued records reach the log and be read back.
+    /// Appends all queued records to the log and reads them back.
     void settle()
     {
         while (const auto batch = poll(20ms)) {
@@ -130,7 +130,7 @@
     CHECK(one.results["r4"].verdict == verdict::answered);
 }
 
-TEST_CASE("an answer that was not kept is reported as unknown")
+TEST_CASE("an answer that was not stored is reported as unknown")
 {
     single one;
     one.begin("r1");
@@ -176,7 +176,7 @@
     CHECK(one.results["r1"].claimId != batch->records.front().claimId);
 }
 
-TEST_CASE("a claim that is read back after its request was given up is released")
+TEST_CASE("a claim that is read back after its request ended is released")
 {
     single one;
     one.begin("r1", "d1", 100ms);
@@ -217,7 +217,7 @@
     CHECK(one.claims.table().holders().empty());
 }
 
-TEST_CASE("a cancellation that crosses the grant releases the claim")
+TEST_CASE("a cancellation that arrives after the grant releases the claim")
 {
     single one;
     one.begin("r1");
@@ -228,7 +228,7 @@
     CHECK(one.claims.table().holders().empty());
 }
 
-TEST_CASE("no key is claimed before the stream was read to the end seen at the start")
+TEST_CASE("no key is claimed until the stream is read to the end that the first page reported")
 {
     claim_coordinator claims("entry-1", 7, 1h);
     const auto verdictOf = [&](const std::string &inId) {
@@ -243,7 +243,7 @@
     claims.pageRead({{.offset = 1, .data = "x"}}, 3, cStart, cStart);
     CHECK(claims.isCaughtUp());
     CHECK(verdictOf("r3") != verdict::refused);
-    // A gap in what was read may hide claims.
+    // A gap in the stream may hide claims.
     claims.pageExpired(9);
     CHECK_FALSE(claims.isCaughtUp());
 }
@@ -307,7 +307,7 @@
 
 namespace {
 
-/// Three instances and a log that loses, delays and repeats, on a virtual clock.
+/// Three instances and a log that loses, delays and duplicates appends, on a virtual clock.
 class fleet
 {
 public:
@@ -336,7 +336,7 @@
         }
     }
 
-    /// Requests that ran for a key without a release by the request before it.
+    /// Requests that ran although an earlier request with the same key had run.
     int doubleRuns = 0;
     int runs = 0;
     int answered = 0;
@@ -504,7 +504,7 @@
         answered += instances.answered;
         refused += instances.refused;
     }
-    // The property would hold without meaning if nothing ran or nothing was repeated.
+    // If nothing ran or nothing was repeated, the checks above would prove nothing.
     CHECK(runs > 500);
     CHECK(answered > 500);
     CHECK(refused > 500);
--- a/tests/unit/claims_claim_table_test.cpp
+++ b/tests/unit/claims_claim_table_test.cpp
@@ -1,5 +1,5 @@
-// Guards against readers of the claims stream that disagree on who holds a key, and against keys
-// that two requests hold or that stay blocked after a release.
+// Guards against readers of the claims stream that disagree on the holder of a key, and against
+// keys that two requests hold or that stay blocked after a release.
 
 #include "corneltally/claims/claim_record.h"
 #include "corneltally/claims/claim_table.h"
@@ -38,7 +38,7 @@
             .body = inBody};
 }
 
-/// A table with a stream of single records.
+/// A table with a stream of batches of one record each.
 struct stream
 {
     claim_table table{1h};
@@ -52,7 +52,7 @@
 
 } // namespace
 
-TEST_CASE("batches survive encoding, with bodies of any bytes")
+TEST_CASE("batches round-trip through their encoding, with arbitrary bytes as bodies")
 {
     std::string body = "{\"a\":\"\\u00e9\"}";
     SECTION("text") { }
@@ -68,7 +68,7 @@
     CHECK(*decoded == batch);
 }
 
-TEST_CASE("records that are not batches are skipped and do not end the process")
+TEST_CASE("records that are not batches are skipped, and invalid UTF-8 does not throw")
 {
     CHECK_FALSE(decodeBatch(""));
     CHECK_FALSE(decodeBatch("[1,2]"));
@@ -82,7 +82,7 @@
     CHECK(decodeBatch(encodeBatch({.id = "x", .records = {record}})));
 }
 
-TEST_CASE("the first claim holds the key and its answer is kept")
+TEST_CASE("the first claim holds the key and its answer is stored")
 {
     stream log;
     CHECK(log.add(claimOf("k", "c1")) == effect::held);
@@ -113,7 +113,7 @@
     CHECK(log.table.find("k", 1000)->claimId == "c3");
 }
 
-TEST_CASE("a key is forgotten a claim window after its claim, by the clock of the log")
+TEST_CASE("a key expires a claim window after its claim, by the clock of the log")
 {
     stream log;
     const std::int64_t hour = 3'600'000;
@@ -126,7 +126,7 @@
     CHECK(log.table.size() == 2);
     log.add(claimOf("late", "c5"), 2 * hour + 1000);
     CHECK(log.table.size() == 1);
-    // A clock that is set back does not revive anything.
+    // A claim with an earlier time, after the clock was set back, does not get the key.
     CHECK(log.add(claimOf("late", "c6"), 1000) == effect::lost);
 }
 
@@ -136,7 +136,7 @@
     unsigned random = 1;
     for (int index = 0; index < 5000; ++index) {
         random = random * 1103515245U + 12345U;
-        // A key is in use for 1,000 s at most: a longer use than the claim window is not covered.
+        // Each key is used for at most 1,000 s; use beyond the claim window is not covered here.
         const std::string key = std::string("k").append(
             std::to_string(index / 100 * 10 + static_cast<int>((random >> 16U) % 10U)));
         const std::string claim = std::string("c").append(
@@ -152,7 +152,7 @@
     for (std::size_t index = 0; index < records.size(); ++index) {
         const claim_batch batch{.id = "b", .records = {records[index].second}};
         whole.apply(index, records[index].first, batch);
-        // The last 5,000 s: longer than the window of 3,600 s and the use of a key.
+        // The last 5,000 s: more than the window of 3,600 s plus the use of a key.
         if (index >= 4500)
             late.apply(index, records[index].first, batch);
     }
