--- a/bench/slopes_bench.cpp
+++ b/bench/slopes_bench.cpp
@@ -161,7 +161,7 @@
         auto table = std::make_unique<membership::peer_table>("entry-0", 1);
         table->setInstances(names);
         for (const std::string &name : names)
-            table->heard(name, 7, false, now);
+            table->recordMessage(name, 7, false, now);
         tableBytes.add(peers, heapBytes() - before);
         viewTime.add(peers, microseconds(200, [&] { (void)table->viewAt(now); }));
     }
--- a/corneltally/entry/peers_service.cpp
+++ b/corneltally/entry/peers_service.cpp
@@ -291,14 +291,15 @@
         return;
     }
     const std::string instance = source.instance;
-    const membership::heard_outcome outcome = mTable.progressed(instance, source.incarnation, now);
-    if (outcome == membership::heard_outcome::outdated
-        || outcome == membership::heard_outcome::ignored)
+    const membership::update_outcome outcome
+        = mTable.recordProgress(instance, source.incarnation, now);
+    if (outcome == membership::update_outcome::outdated
+        || outcome == membership::update_outcome::ignored)
         return;
     if (const auto *beat = std::get_if<peer_heartbeat>(&message.value())) {
         receiveHeartbeat(source, *beat);
     } else if (std::holds_alternative<peer_drain_notice>(message.value())) {
-        mTable.heard(instance, source.incarnation, true, now);
+        mTable.recordMessage(instance, source.incarnation, true, now);
         publishView(now);
     } else {
         receiveMessage(instance, std::get<peer_message>(message.value()));
@@ -316,9 +317,9 @@
         closeLink(inLink, "another instance answered at the peer's address");
         return;
     }
-    const membership::heard_outcome outcome
-        = mTable.heard(inHello.instance, inHello.incarnation, false, now);
-    if (outcome == membership::heard_outcome::superseded) {
+    const membership::update_outcome outcome
+        = mTable.recordMessage(inHello.instance, inHello.incarnation, false, now);
+    if (outcome == membership::update_outcome::superseded) {
         checkSuperseded(inHello.incarnation);
         return;
     }
@@ -328,17 +329,17 @@
         source.connection->send(helloFor(source.instance));
         source.greeted = true;
     }
-    if (outcome == membership::heard_outcome::outdated) {
+    if (outcome == membership::update_outcome::outdated) {
         source.refused = true;
         return;
     }
-    if (outcome == membership::heard_outcome::ignored) {
+    if (outcome == membership::update_outcome::ignored) {
         // The peer tries again, so that it is accepted once the tree names it.
         closeLink(inLink, "the tree does not name the peer");
         return;
     }
     source.incarnation = inHello.incarnation;
-    if (outcome == membership::heard_outcome::replaced)
+    if (outcome == membership::update_outcome::replaced)
         closeOlderLinks(inHello.instance, inHello.incarnation);
     if (mRemotes.contains(inHello.instance))
         chooseActive(inHello.instance, now);
@@ -349,7 +350,7 @@
 {
     checkSuperseded(inBeat.receiverIncarnation);
     const core::time_point now = core::boot_clock::now();
-    mTable.heard(inLink.instance, inLink.incarnation, inBeat.draining, now);
+    mTable.recordMessage(inLink.instance, inLink.incarnation, inBeat.draining, now);
     mRegistry.broadcast(peer_version{inLink.instance, inBeat.settingsVersion});
     publishView(now);
 }
--- a/corneltally/membership/peer_table.cpp
+++ b/corneltally/membership/peer_table.cpp
@@ -21,37 +21,37 @@
     }
 }
 
-heard_outcome peer_table::heard(std::string_view inName, std::uint64_t inIncarnation,
-                                bool inDraining, core::time_point inNow)
+update_outcome peer_table::recordMessage(std::string_view inName, std::uint64_t inIncarnation,
+                                         bool inDraining, core::time_point inNow)
 {
-    const heard_outcome outcome = progressed(inName, inIncarnation, inNow);
-    if (inDraining && (outcome == heard_outcome::current || outcome == heard_outcome::replaced))
+    const update_outcome outcome = recordProgress(inName, inIncarnation, inNow);
+    if (inDraining && (outcome == update_outcome::current || outcome == update_outcome::replaced))
         mEntries.find(inName)->second.draining = true;
     return outcome;
 }
 
-heard_outcome peer_table::progressed(std::string_view inName, std::uint64_t inIncarnation,
-                                     core::time_point inNow)
+update_outcome peer_table::recordProgress(std::string_view inName, std::uint64_t inIncarnation,
+                                          core::time_point inNow)
 {
     if (inName == mOwnName) {
         if (inIncarnation > mOwnIncarnation) {
             mSuperseded = true;
-            return heard_outcome::superseded;
+            return update_outcome::superseded;
         }
-        return inIncarnation < mOwnIncarnation ? heard_outcome::outdated : heard_outcome::ignored;
+        return inIncarnation < mOwnIncarnation ? update_outcome::outdated : update_outcome::ignored;
     }
     const auto found = mEntries.find(inName);
     if (found == mEntries.end())
-        return heard_outcome::ignored;
+        return update_outcome::ignored;
     entry &peer = found->second;
     if (inIncarnation < peer.incarnation)
-        return heard_outcome::outdated;
+        return update_outcome::outdated;
     if (inIncarnation > peer.incarnation || !peer.lastProgress) {
         peer = entry{.incarnation = inIncarnation, .lastProgress = inNow};
-        return heard_outcome::replaced;
+        return update_outcome::replaced;
     }
     peer.lastProgress = std::max(*peer.lastProgress, inNow);
-    return heard_outcome::current;
+    return update_outcome::current;
 }
 
 peer_state peer_table::sStateOf(const entry &inEntry, core::time_point inNow)
--- a/corneltally/membership/peer_table.h
+++ b/corneltally/membership/peer_table.h
@@ -25,7 +25,7 @@
 };
 
 /// What a sign of life changed.
-enum class heard_outcome : std::uint8_t {
+enum class update_outcome : std::uint8_t {
     /// From the incarnation that is known; its last progress was renewed.
     current,
     /// First sign of life, or of a newer incarnation that replaces the older one.
@@ -77,12 +77,12 @@
     void setInstances(const std::vector<std::string> &inNames);
 
     /// Records a hello, heartbeat or other frame of a peer.
-    heard_outcome heard(std::string_view inName, std::uint64_t inIncarnation, bool inDraining,
-                        core::time_point inNow);
+    update_outcome recordMessage(std::string_view inName, std::uint64_t inIncarnation,
+                                 bool inDraining, core::time_point inNow);
 
     /// Records bytes received on a connection whose hello named this incarnation.
-    heard_outcome progressed(std::string_view inName, std::uint64_t inIncarnation,
-                             core::time_point inNow);
+    update_outcome recordProgress(std::string_view inName, std::uint64_t inIncarnation,
+                                  core::time_point inNow);
 
     /// This instance no longer takes new work.
     void startDrain() { mDraining = true; }
--- a/tests/unit/membership_peer_table_test.cpp
+++ b/tests/unit/membership_peer_table_test.cpp
@@ -7,9 +7,9 @@
 
 using namespace corneltally;
 using namespace std::chrono_literals;
-using membership::heard_outcome;
 using membership::peer_state;
 using membership::peer_table;
+using membership::update_outcome;
 using names = std::vector<std::string>;
 
 namespace {
@@ -31,7 +31,7 @@
     CHECK(table.stateOf("entry-1", cStart) == peer_state::unknown);
     CHECK(table.viewAt(cStart).live == names{"entry-2"});
 
-    CHECK(table.heard("entry-1", 7, false, cStart) == heard_outcome::replaced);
+    CHECK(table.recordMessage("entry-1", 7, false, cStart) == update_outcome::replaced);
     CHECK(table.stateOf("entry-1", cStart + 999ms) == peer_state::live);
     CHECK(table.nextChange(cStart) == cStart + 1s);
     CHECK(table.stateOf("entry-1", cStart + 1s) == peer_state::suspect);
@@ -46,21 +46,21 @@
 TEST_CASE("progress renews a peer, also after it was down")
 {
     peer_table table = makeTable();
-    table.heard("entry-1", 7, false, cStart);
-    CHECK(table.progressed("entry-1", 7, cStart + 900ms) == heard_outcome::current);
+    table.recordMessage("entry-1", 7, false, cStart);
+    CHECK(table.recordProgress("entry-1", 7, cStart + 900ms) == update_outcome::current);
     CHECK(table.stateOf("entry-1", cStart + 1500ms) == peer_state::live);
-    CHECK(table.heard("entry-1", 7, false, cStart + 5s) == heard_outcome::current);
+    CHECK(table.recordMessage("entry-1", 7, false, cStart + 5s) == update_outcome::current);
     CHECK(table.stateOf("entry-1", cStart + 5s) == peer_state::live);
 }
 
 TEST_CASE("a greater incarnation replaces an older one and the older one is ignored")
 {
     peer_table table = makeTable();
-    table.heard("entry-1", 7, true, cStart);
+    table.recordMessage("entry-1", 7, true, cStart);
     CHECK(table.viewAt(cStart).draining == names{"entry-1"});
-    CHECK(table.heard("entry-1", 8, false, cStart + 1s) == heard_outcome::replaced);
+    CHECK(table.recordMessage("entry-1", 8, false, cStart + 1s) == update_outcome::replaced);
     CHECK(table.viewAt(cStart + 1s).draining.empty());
-    CHECK(table.heard("entry-1", 7, true, cStart + 1500ms) == heard_outcome::outdated);
+    CHECK(table.recordMessage("entry-1", 7, true, cStart + 1500ms) == update_outcome::outdated);
     CHECK(table.viewAt(cStart + 1500ms).live == names{"entry-1", "entry-2"});
     CHECK(table.stateOf("entry-1", cStart + 3s) == peer_state::down);
 }
@@ -68,9 +68,9 @@
 TEST_CASE("a drain stays in force for the rest of an incarnation")
 {
     peer_table table = makeTable();
-    table.heard("entry-1", 7, true, cStart);
+    table.recordMessage("entry-1", 7, true, cStart);
     // A heartbeat that was queued before the drain notice arrives after it.
-    table.heard("entry-1", 7, false, cStart + 100ms);
+    table.recordMessage("entry-1", 7, false, cStart + 100ms);
     CHECK(table.viewAt(cStart + 100ms).draining == names{"entry-1"});
     CHECK(table.viewAt(cStart + 100ms).live == names{"entry-2"});
     CHECK(table.viewAt(cStart + 3s).draining.empty());
@@ -82,18 +82,18 @@
 TEST_CASE("a greater incarnation under the own name supersedes this process")
 {
     peer_table table = makeTable();
-    CHECK(table.heard("entry-2", 499, false, cStart) == heard_outcome::outdated);
-    CHECK(table.heard("entry-2", 500, false, cStart) == heard_outcome::ignored);
+    CHECK(table.recordMessage("entry-2", 499, false, cStart) == update_outcome::outdated);
+    CHECK(table.recordMessage("entry-2", 500, false, cStart) == update_outcome::ignored);
     CHECK_FALSE(table.isSuperseded());
-    CHECK(table.heard("entry-2", 501, false, cStart) == heard_outcome::superseded);
+    CHECK(table.recordMessage("entry-2", 501, false, cStart) == update_outcome::superseded);
     CHECK(table.isSuperseded());
 }
 
 TEST_CASE("only instances that the tree names are peers")
 {
     peer_table table = makeTable();
-    CHECK(table.heard("entry-9", 1, false, cStart) == heard_outcome::ignored);
-    table.heard("entry-3", 1, false, cStart);
+    CHECK(table.recordMessage("entry-9", 1, false, cStart) == update_outcome::ignored);
+    table.recordMessage("entry-3", 1, false, cStart);
     table.setInstances({"entry-1", "entry-2"});
     CHECK(table.viewAt(cStart).live == names{"entry-2"});
     CHECK(table.stateOf("entry-3", cStart) == peer_state::unknown);
