--- a/corneltally/membership/peer_table.h
+++ b/corneltally/membership/peer_table.h
@@ -14,39 +14,41 @@
 
 namespace corneltally::membership {
 
-/// How recently an instance made progress.
+/// State of a peer by the time since its last progress.
 enum class peer_state : std::uint8_t {
-    /// Listed in the tree, not heard from since this process started.
+    /// Listed in the tree, but no message was received since this process started.
     unknown,
     live,
-    /// Silent for longer than peer_table::cSuspectAfter: a fresh connection should be tried.
+    /// Silent for at least peer_table::cSuspectAfter: a new connection should be tried.
     suspect,
+    /// Silent for at least peer_table::cDownAfter.
     down,
 };
 
-/// What a sign of life changed.
+/// What a message or progress of an instance changed.
 enum class update_outcome : std::uint8_t {
-    /// From the incarnation that is known; its last progress was renewed.
+    /// From the known incarnation; its last progress was updated.
     current,
-    /// First sign of life, or of a newer incarnation that replaces the older one.
+    /// First message of the peer, or from a newer incarnation that replaces the known one.
     replaced,
     /// From an older incarnation than the known one; ignored.
     outdated,
-    /// From a newer incarnation under this instance's own name: this process must stop.
+    /// From a newer incarnation with this instance's own name: this process must stop.
     superseded,
     /// From this process itself, or from a name that the tree does not list; ignored.
     ignored,
 };
 
-/// Which instances are live, from one instance's point of view.
+/// Tracks which instances are live, as seen by this instance.
 class peer_table
 {
 public:
-    /// Missed heartbeats (250 ms) before a peer is suspect, and before it is down.
+    /// Time without progress after which a peer is suspect, and after which it is down. Heartbeats
+    /// are sent every 250 ms.
     static constexpr core::duration cSuspectAfter = std::chrono::seconds(1);
     static constexpr core::duration cDownAfter = std::chrono::seconds(2);
 
-    /// What is known of one peer.
+    /// State of one peer.
     struct entry
     {
         std::uint64_t incarnation = 0;
@@ -60,7 +62,7 @@
     /// Names of instances by state, ordered by name.
     struct view
     {
-        /// Includes suspect instances, and this instance unless it drains.
+        /// Includes suspect instances, and this instance unless it is draining.
         std::vector<std::string> live;
         std::vector<std::string> draining;
 
@@ -72,33 +74,33 @@
     const std::string &ownName() const { return mOwnName; }
     std::uint64_t ownIncarnation() const { return mOwnIncarnation; }
 
-    /// Replaces the list of instances that the tree names. Peers that are no longer named are
-    /// forgotten.
+    /// Replaces the list of instances that the tree names, and removes peers that are no longer
+    /// named.
     void setInstances(const std::vector<std::string> &inNames);
 
     /// Records a hello, heartbeat or other frame of a peer.
     update_outcome recordMessage(std::string_view inName, std::uint64_t inIncarnation,
                                  bool inDraining, core::time_point inNow);
 
-    /// Records bytes received on a connection whose hello named this incarnation.
+    /// Records bytes that were received on a connection whose hello named this incarnation.
     update_outcome recordProgress(std::string_view inName, std::uint64_t inIncarnation,
                                   core::time_point inNow);
 
-    /// This instance no longer takes new work.
+    /// Marks this instance as draining: it accepts no new work.
     void startDrain() { mDraining = true; }
     bool isDraining() const { return mDraining; }
 
-    /// A newer process runs under this instance's name.
+    /// Whether a newer process with this instance's name is running.
     bool isSuperseded() const { return mSuperseded; }
 
     peer_state stateOf(std::string_view inName, core::time_point inNow) const;
     view viewAt(core::time_point inNow) const;
 
-    /// Peers of a state, ordered by name.
+    /// Returns the peers in a state, ordered by name.
     std::vector<std::string> peersIn(peer_state inState, core::time_point inNow) const;
 
-    /// Earliest time at which a state changes if no peer makes progress; none if there is nothing
-    /// left to expire.
+    /// Earliest time at which a state changes if no peer makes progress; none if no peer is live or
+    /// suspect.
     std::optional<core::time_point> nextChange(core::time_point inNow) const;
 
     const std::map<std::string, entry, std::less<>> &entries() const { return mEntries; }
--- a/tests/unit/membership_peer_table_test.cpp
+++ b/tests/unit/membership_peer_table_test.cpp
@@ -1,5 +1,5 @@
-// Guards against peers that are taken for live without progress, against old incarnations that
-// undo what a newer one said, and against two processes that run under one name.
+// Guards against peers that count as live without progress, against messages of an old incarnation
+// that override a newer one, and against two processes with the same name.
 
 #include "corneltally/membership/peer_table.h"
 
@@ -43,7 +43,7 @@
     CHECK_FALSE(table.nextChange(cStart + 2s));
 }
 
-TEST_CASE("progress renews a peer, also after it was down")
+TEST_CASE("progress makes a peer live again, also after it was down")
 {
     peer_table table = makeTable();
     table.recordMessage("entry-1", 7, false, cStart);
@@ -53,7 +53,7 @@
     CHECK(table.stateOf("entry-1", cStart + 5s) == peer_state::live);
 }
 
-TEST_CASE("a greater incarnation replaces an older one and the older one is ignored")
+TEST_CASE("a newer incarnation replaces an older one, whose messages are then ignored")
 {
     peer_table table = makeTable();
     table.recordMessage("entry-1", 7, true, cStart);
@@ -65,7 +65,7 @@
     CHECK(table.stateOf("entry-1", cStart + 3s) == peer_state::down);
 }
 
-TEST_CASE("a drain stays in force for the rest of an incarnation")
+TEST_CASE("a peer stays draining for the rest of its incarnation")
 {
     peer_table table = makeTable();
     table.recordMessage("entry-1", 7, true, cStart);
@@ -79,7 +79,7 @@
     CHECK(table.viewAt(cStart + 100ms).draining == names{"entry-1", "entry-2"});
 }
 
-TEST_CASE("a greater incarnation under the own name supersedes this process")
+TEST_CASE("a newer incarnation with the own name supersedes this process")
 {
     peer_table table = makeTable();
     CHECK(table.recordMessage("entry-2", 499, false, cStart) == update_outcome::outdated);
