--- a/corneltally/claims/claim_coordinator.cpp
+++ b/corneltally/claims/claim_coordinator.cpp
@@ -190,17 +190,17 @@
         return false;
     result decided;
     if (holder->requestDigest != request.requestDigest) {
-        decided.verdict = claim_verdict::conflict;
+        decided.decision = claim_decision::conflict;
         decided.error
             = {core::error_kind::conflict, "the idempotency key was used for a different request",
                "use a new key for a new request"};
     } else if (holder->done && holder->status != 0) {
-        decided.verdict = claim_verdict::answered;
+        decided.decision = claim_decision::answered;
         decided.status = holder->status;
         decided.contentType = holder->contentType;
         decided.body = holder->body;
     } else if (holder->done) {
-        decided.verdict = claim_verdict::unknown;
+        decided.decision = claim_decision::unknown;
         decided.error = {core::error_kind::conflict,
                          "the request with this idempotency key completed, but its answer was too "
                          "long to be stored",
@@ -254,7 +254,7 @@
             granted_claim{.key = inRecord.key,
                           .claimId = inRecord.claimId,
                           .expiresAt = found->second.deadline + cGrantRetention});
-        answer(found, {.verdict = claim_verdict::granted, .claimId = inRecord.claimId});
+        answer(found, {.decision = claim_decision::granted, .claimId = inRecord.claimId});
     }
 }
 
@@ -280,7 +280,7 @@
                                core::duration inRetryAfter)
 {
     mResults.push_back({.requestId = inRequestId,
-                        .verdict = claim_verdict::refused,
+                        .decision = claim_decision::refused,
                         .error = {core::error_kind::unavailable, std::move(inMessage),
                                   "send the request again with the same idempotency key"},
                         .retryAfter = inRetryAfter});
@@ -308,7 +308,7 @@
             continue;
         if (current->second.claimId.empty()) {
             answer(current,
-                   {.verdict = claim_verdict::unknown,
+                   {.decision = claim_decision::unknown,
                     .error = {core::error_kind::conflict,
                               "another request with this idempotency key has not finished",
                               "send it again with the same key to get the result, or look it up at "
--- a/corneltally/claims/claim_coordinator.h
+++ b/corneltally/claims/claim_coordinator.h
@@ -16,7 +16,7 @@
 namespace corneltally::claims {
 
 /// Result of a request's claim.
-enum class claim_verdict : std::uint8_t { granted, answered, conflict, unknown, refused };
+enum class claim_decision : std::uint8_t { granted, answered, conflict, unknown, refused };
 
 /// A record of the claims stream as read from the log.
 struct stream_record
@@ -43,7 +43,7 @@
     struct result
     {
         std::string requestId;
-        claim_verdict verdict = claim_verdict::refused;
+        claim_decision decision = claim_decision::refused;
         std::string claimId;
         /// The stored answer of the holder, if the claim was answered.
         int status = 0;
--- a/corneltally/entry/claims_service.h
+++ b/corneltally/entry/claims_service.h
@@ -82,18 +82,18 @@
 constexpr core::duration cMinRetryDelay = std::chrono::milliseconds(100);
 constexpr core::duration cMaxRetryDelay = std::chrono::seconds(2);
 
-inline claim_outcome outcomeOf(claims::claim_verdict inVerdict)
+inline claim_outcome outcomeOf(claims::claim_decision inVerdict)
 {
     switch (inVerdict) {
-    case claims::claim_verdict::granted:
+    case claims::claim_decision::granted:
         return claim_outcome::granted;
-    case claims::claim_verdict::answered:
+    case claims::claim_decision::answered:
         return claim_outcome::answered;
-    case claims::claim_verdict::conflict:
+    case claims::claim_decision::conflict:
         return claim_outcome::conflict;
-    case claims::claim_verdict::unknown:
+    case claims::claim_decision::unknown:
         return claim_outcome::unknown;
-    case claims::claim_verdict::refused:
+    case claims::claim_decision::refused:
         break;
     }
     return claim_outcome::refused;
@@ -298,13 +298,13 @@
 template <platform::log_service Log>
 void claims_service<Log>::post(claims::claim_coordinator::result inResult)
 {
-    const bool isRefused = inResult.verdict == claims::claim_verdict::refused;
-    mGranted += inResult.verdict == claims::claim_verdict::granted ? 1 : 0;
+    const bool isRefused = inResult.decision == claims::claim_decision::refused;
+    mGranted += inResult.decision == claims::claim_decision::granted ? 1 : 0;
     mRefused += isRefused ? 1 : 0;
     const double seconds = std::ceil(std::chrono::duration<double>(inResult.retryAfter).count());
     mRegistry.post("front_end",
                    claim_result{.requestId = std::move(inResult.requestId),
-                                .outcome = claims_detail::outcomeOf(inResult.verdict),
+                                .outcome = claims_detail::outcomeOf(inResult.decision),
                                 .claimId = std::move(inResult.claimId),
                                 .status = inResult.status,
                                 .contentType = std::move(inResult.contentType),
--- a/tests/unit/claims_claim_coordinator_test.cpp
+++ b/tests/unit/claims_claim_coordinator_test.cpp
@@ -15,7 +15,7 @@
 using namespace corneltally::claims;
 using namespace std::chrono_literals;
 using core::duration;
-using verdict = claim_verdict;
+using decision = claim_decision;
 
 namespace {
 
@@ -91,7 +91,7 @@
     one.read();
     one.poll();
     REQUIRE(one.results.contains("r1"));
-    CHECK(one.results["r1"].verdict == verdict::granted);
+    CHECK(one.results["r1"].decision == decision::granted);
     CHECK(one.results["r1"].claimId == batch->records.front().claimId);
 }
 
@@ -113,7 +113,7 @@
     one.begin("r2");
     one.begin("r3", "d2");
     one.settle();
-    CHECK(one.results["r3"].verdict == verdict::conflict);
+    CHECK(one.results["r3"].decision == decision::conflict);
     CHECK_FALSE(one.results.contains("r2"));
     one.claims.finish({.key = "k",
                        .claimId = one.results["r1"].claimId,
@@ -122,12 +122,12 @@
                        .body = "ordered"},
                       one.now);
     one.settle();
-    CHECK(one.results["r2"].verdict == verdict::answered);
+    CHECK(one.results["r2"].decision == decision::answered);
     CHECK(one.results["r2"].status == 201);
     CHECK(one.results["r2"].body == "ordered");
     one.begin("r4");
     one.poll();
-    CHECK(one.results["r4"].verdict == verdict::answered);
+    CHECK(one.results["r4"].decision == decision::answered);
 }
 
 TEST_CASE("an answer that was not stored is reported as unknown")
@@ -143,7 +143,7 @@
     one.settle();
     one.begin("r2");
     one.poll();
-    CHECK(one.results["r2"].verdict == verdict::unknown);
+    CHECK(one.results["r2"].decision == decision::unknown);
 }
 
 TEST_CASE("a waiting request ends as unknown at its deadline")
@@ -155,7 +155,7 @@
     one.poll(9999ms);
     CHECK(one.results.empty());
     one.poll(1ms);
-    CHECK(one.results["r1"].verdict == verdict::unknown);
+    CHECK(one.results["r1"].decision == decision::unknown);
     CHECK(one.claims.pending() == 0);
 }
 
@@ -172,7 +172,7 @@
     one.add({.action = claim_action::release, .key = "k", .claimId = "c"});
     one.read();
     one.settle();
-    CHECK(one.results["r1"].verdict == verdict::granted);
+    CHECK(one.results["r1"].decision == decision::granted);
     CHECK(one.results["r1"].claimId != batch->records.front().claimId);
 }
 
@@ -195,14 +195,14 @@
         one.claims.readFailed(one.now);
     }
     one.poll();
-    CHECK(one.results["r1"].verdict == verdict::refused);
+    CHECK(one.results["r1"].decision == decision::refused);
     one.append(*batch);
     one.read();
     one.settle();
     CHECK(one.claims.table().holders().empty());
     one.begin("r2");
     one.settle();
-    CHECK(one.results["r2"].verdict == verdict::granted);
+    CHECK(one.results["r2"].decision == decision::granted);
 }
 
 TEST_CASE("a claim that is read back after its deadline is not granted")
@@ -213,7 +213,7 @@
     one.now += 100ms;
     one.read();
     one.settle();
-    CHECK(one.results["r1"].verdict == verdict::refused);
+    CHECK(one.results["r1"].decision == decision::refused);
     CHECK(one.claims.table().holders().empty());
 }
 
@@ -222,7 +222,7 @@
     single one;
     one.begin("r1");
     one.settle();
-    CHECK(one.results["r1"].verdict == verdict::granted);
+    CHECK(one.results["r1"].decision == decision::granted);
     one.claims.cancel("r1", one.now);
     one.settle();
     CHECK(one.claims.table().holders().empty());
@@ -231,18 +231,18 @@
 TEST_CASE("no key is claimed until the stream is read to the end that the first page reported")
 {
     claim_coordinator claims("entry-1", 7, 1h);
-    const auto verdictOf = [&](const std::string &inId) {
+    const auto decisionOf = [&](const std::string &inId) {
         claims.begin(inId, "k", "d1", cStart + 10s, cStart);
         const auto actions = claims.poll(cStart);
-        return actions.results.empty() ? verdict::granted : actions.results.front().verdict;
+        return actions.results.empty() ? decision::granted : actions.results.front().decision;
     };
-    CHECK(verdictOf("r1") == verdict::refused);
+    CHECK(decisionOf("r1") == decision::refused);
     claims.pageRead({{.offset = 0, .data = "x"}}, 2, cStart, cStart);
     CHECK_FALSE(claims.isCaughtUp());
-    CHECK(verdictOf("r2") == verdict::refused);
+    CHECK(decisionOf("r2") == decision::refused);
     claims.pageRead({{.offset = 1, .data = "x"}}, 3, cStart, cStart);
     CHECK(claims.isCaughtUp());
-    CHECK(verdictOf("r3") != verdict::refused);
+    CHECK(decisionOf("r3") != decision::refused);
     // A gap in the stream may hide claims.
     claims.pageExpired(9);
     CHECK_FALSE(claims.isCaughtUp());
@@ -264,14 +264,14 @@
         one.begin("r1");
         one.claims.readFailed(one.now);
         one.poll();
-        CHECK(one.results["r1"].verdict == verdict::refused);
+        CHECK(one.results["r1"].decision == decision::refused);
         one.begin("r2");
         one.poll();
         CHECK(one.results["r2"].retryAfter > 0ms);
         one.read();
         one.begin("r3");
         one.settle();
-        CHECK(one.results["r3"].verdict == verdict::granted);
+        CHECK(one.results["r3"].decision == decision::granted);
     }
     SECTION("appends stay without an answer")
     {
@@ -280,10 +280,10 @@
         one.poll(2999ms);
         CHECK(one.results.empty());
         one.poll(1ms);
-        CHECK(one.results["r1"].verdict == verdict::refused);
+        CHECK(one.results["r1"].decision == decision::refused);
         one.begin("r2");
         one.poll();
-        CHECK(one.results["r2"].verdict == verdict::refused);
+        CHECK(one.results["r2"].decision == decision::refused);
     }
     SECTION("appends are refused")
     {
@@ -294,14 +294,14 @@
             one.claims.batcher().refused(batch->id, one.now);
         }
         one.poll();
-        CHECK(one.results["r1"].verdict == verdict::refused);
+        CHECK(one.results["r1"].decision == decision::refused);
         one.begin("r2");
         one.poll();
         CHECK(one.results["r2"].retryAfter > 0ms);
         one.now += 1s;
         one.begin("r3");
         one.settle();
-        CHECK(one.results["r3"].verdict == verdict::granted);
+        CHECK(one.results["r3"].decision == decision::granted);
     }
 }
 
@@ -459,8 +459,8 @@
     void take(const member_ptr &inFrom, const claim_coordinator::result &inResult)
     {
         const std::string key = mKeyOf[inResult.requestId];
-        if (inResult.verdict != verdict::granted) {
-            (inResult.verdict == verdict::answered ? answered : refused) += 1;
+        if (inResult.decision != decision::granted) {
+            (inResult.decision == decision::answered ? answered : refused) += 1;
             return;
         }
         if (chance(0.3)) {
