--- a/tests/unit/limits_fleet_fixture.h
+++ b/tests/unit/limits_fleet_fixture.h
@@ -110,7 +110,7 @@
     int admitted = 0;
     int refused = 0;
     /// Refusals although one central bucket with the whole limit contained the tokens.
-    int wrongful = 0;
+    int avoidable = 0;
     int loansGranted = 0;
 
 private:
@@ -361,7 +361,7 @@
         refillCentral();
         if (inDecision.outcome != limits::limiter_outcome::admitted) {
             ++refused;
-            wrongful += mCentral >= tokens ? 1 : 0;
+            avoidable += mCentral >= tokens ? 1 : 0;
             return;
         }
         ++admitted;
--- a/tests/unit/limits_fleet_share_test.cpp
+++ b/tests/unit/limits_fleet_share_test.cpp
@@ -68,14 +68,14 @@
     CHECK(closest > -36); // the largest request of the smallest mean
 }
 
-TEST_CASE("loans avoid most wrongful refusals under uneven arrivals")
+TEST_CASE("loans prevent most avoidable refusals under uneven arrivals")
 {
     fleet_options options;
     options.refunds = false;
     options.length = 300s;
     for (const double load : {0.5, 0.75, 0.9}) {
         options.load = load;
-        int wrongful[2] = {0, 0};
+        int avoidable[2] = {0, 0};
         int arrivals = 0;
         for (unsigned seed = 1; seed <= 5; ++seed) {
             options.seed = seed;
@@ -83,16 +83,16 @@
                 options.loans = loans;
                 fleet_simulation fleet(options);
                 fleet.run();
-                wrongful[loans ? 1 : 0] += fleet.wrongful;
+                avoidable[loans ? 1 : 0] += fleet.avoidable;
                 arrivals += loans ? fleet.arrivals : 0;
                 CHECK(fleet.excess() <= 0.01);
             }
         }
-        std::printf("load %.2f: %d arrivals, wrongful refusals %d without loans, %d with loans, "
+        std::printf("load %.2f: %d arrivals, avoidable refusals %d without loans, %d with loans, "
                     "ratio %.3f\n",
-                    load, arrivals, wrongful[0], wrongful[1],
-                    wrongful[0] > 0 ? static_cast<double>(wrongful[1]) / wrongful[0] : 0.0);
-        CHECK(wrongful[1] * 5 < wrongful[0]);
+                    load, arrivals, avoidable[0], avoidable[1],
+                    avoidable[0] > 0 ? static_cast<double>(avoidable[1]) / avoidable[0] : 0.0);
+        CHECK(avoidable[1] * 5 < avoidable[0]);
     }
 }
 
--- a/tests/unit/limits_token_bucket_test.cpp
+++ b/tests/unit/limits_token_bucket_test.cpp
@@ -40,7 +40,7 @@
     CHECK(bucket.tryTake(270, now + bucket.timeUntil(270, now)));
 }
 
-TEST_CASE("a debt is paid from the refill and survives a clear")
+TEST_CASE("a debt is paid by the refill and remains after a clear")
 {
     token_bucket bucket(100, 300, cStart);
     bucket.take(200, cStart + 1s);
--- a/tests/unit/ownership_rules_test.cpp
+++ b/tests/unit/ownership_rules_test.cpp
@@ -259,7 +259,7 @@
     CHECK_FALSE(own.isHeld(cStart + 10s));
 }
 
-TEST_CASE("a lease that was dropped after a pause is not revived by a record from before")
+TEST_CASE("a lease that was dropped after a pause is not restored by an earlier record")
 {
     lease_table table;
     lease own("e", "a", 1, 10s);
