--- a/corneltally/limits/fleet_allowance.cpp
+++ b/corneltally/limits/fleet_allowance.cpp
@@ -63,8 +63,8 @@
             total = 0;
     }
     // The first totals of a peer only set the baseline: its earlier charges may be old.
-    const bool isFirst = !peer.lastHeard && peer.totals.empty();
-    peer.lastHeard = inNow;
+    const bool isFirst = !peer.lastReceivedAt && peer.totals.empty();
+    peer.lastReceivedAt = inNow;
     for (const account_use &use : inUses) {
         const auto found = mAccounts.find(use.account);
         double &known = peer.totals[use.account];
@@ -91,7 +91,7 @@
 void fleet_allowance::reserveForSilentPeers(account_state &ioAccount, core::time_point inNow)
 {
     for (const auto &[name, peer] : mPeers) {
-        if (peer.lastHeard && inNow - *peer.lastHeard <= cPeerTimeout) {
+        if (peer.lastReceivedAt && inNow - *peer.lastReceivedAt <= cPeerTimeout) {
             ioAccount.silentPeers.erase(name);
             continue;
         }
@@ -115,7 +115,7 @@
     const double share = gained / static_cast<double>(mPeers.size() + 1);
     double kept = gained;
     for (const auto &[name, peer] : mPeers) {
-        if (peer.lastHeard && inNow - *peer.lastHeard <= cPeerTimeout)
+        if (peer.lastReceivedAt && inNow - *peer.lastReceivedAt <= cPeerTimeout)
             continue;
         kept -= share;
         double &reserved = ioAccount.reserved[name];
@@ -176,7 +176,7 @@
         account.reserved.clear();
     }
     for (auto &[name, peer] : mPeers)
-        peer.lastHeard.reset();
+        peer.lastReceivedAt.reset();
 }
 
 std::vector<account_use> fleet_allowance::ownUses() const
--- a/corneltally/limits/fleet_allowance.h
+++ b/corneltally/limits/fleet_allowance.h
@@ -65,7 +65,7 @@
     struct peer_state
     {
         std::uint64_t incarnation = 0;
-        std::optional<core::time_point> lastHeard;
+        std::optional<core::time_point> lastReceivedAt;
         std::map<std::string, double, std::less<>> totals;
     };
     struct account_state
