--- a/corneltally/claims/append_batcher.h
+++ b/corneltally/claims/append_batcher.h
@@ -13,7 +13,7 @@
 
 namespace corneltally::claims {
 
-/// Groups records into batches and appends them to the log, one batch at a time.
+/// Groups idempotency claim records into batches and appends them to the log, one batch at a time.
 ///
 /// After a lost answer the stream is read to its end, with a read sent after the loss. If the batch
 /// is not there, its records are sent again. The first append may still take effect later. Readers
--- a/corneltally/claims/claim_coordinator.h
+++ b/corneltally/claims/claim_coordinator.h
@@ -15,7 +15,7 @@
 
 namespace corneltally::claims {
 
-/// Result of a request's claim.
+/// Decision on a request's idempotency claim.
 enum class claim_decision : std::uint8_t { granted, answered, conflict, unknown, refused };
 
 /// A record of the claims stream as read from the log.
@@ -26,9 +26,9 @@
     std::string data;
 };
 
-/// Manages the claims of one instance: claims idempotency keys for requests, waits for other
-/// holders, and releases claims whose requests are gone. A request is granted only after its claim
-/// was read back from the log as the holder of the key.
+/// Manages the idempotency claims of one instance: claims keys for requests, waits for other
+/// holders of a key, and releases claims whose requests ended. A request is granted only after its
+/// claim was read back from the log as the holder of the key.
 class claim_coordinator
 {
 public:
--- a/corneltally/claims/claim_record.h
+++ b/corneltally/claims/claim_record.h
@@ -12,7 +12,7 @@
 /// Action of a record of the claims stream.
 enum class claim_action : std::uint8_t { claim, release, done };
 
-/// A claim, release or completion of an idempotency key.
+/// An idempotency claim, its release or its completion.
 struct claim_record
 {
     claim_action action = claim_action::claim;
--- a/corneltally/claims/claim_table.h
+++ b/corneltally/claims/claim_table.h
@@ -16,7 +16,7 @@
 
 namespace corneltally::claims {
 
-/// The claim that holds an idempotency key, and its answer once it is done.
+/// The idempotency claim that holds a key, and the answer of its request once it is done.
 struct claim_holder
 {
     std::string claimId;
@@ -33,7 +33,8 @@
     friend auto operator<=>(const claim_holder &, const claim_holder &) = default;
 };
 
-/// Replay of the claims stream. Every reader of the same records gets the same state:
+/// State of all idempotency claims, by replay of the claims stream. Every reader of the same
+/// records gets the same state:
 /// - A claim gets the key if no other claim holds it at that offset. A claim that lost never gets
 ///   the key later, since its claimant may be gone.
 /// - Only the first record with a claim id counts, so that a late duplicate of an earlier claim
