--- a/corneltally/claims/claim_coordinator.cpp
+++ b/corneltally/claims/claim_coordinator.cpp
@@ -9,11 +9,11 @@
 
 using namespace std::chrono_literals;
 
-/// A cancellation arrives long before this time after the deadline.
-constexpr core::duration cGrantMemory = 30s;
-constexpr core::duration cCatchUpRetry = 1s;
-constexpr core::duration cOutageRetry = 2s;
-/// One lost append is resolved within a round trip; two in a row are an outage of writes.
+/// Time after the deadline for which grants are kept; a late cancellation arrives long before.
+constexpr core::duration cGrantRetention = 30s;
+constexpr core::duration cCatchUpRetryAfter = 1s;
+constexpr core::duration cOutageRetryAfter = 2s;
+/// One lost append is resolved within a round trip; two in a row count as a write outage.
 constexpr int cMaxFailures = 2;
 
 } // namespace
@@ -36,11 +36,12 @@
                               core::time_point inNow)
 {
     if (!mCaughtUp) {
-        refuse(inRequestId, "the claims stream has not been read yet", cCatchUpRetry);
+        refuse(inRequestId, "the claims stream has not been read yet", cCatchUpRetryAfter);
     } else if (!mReadable || !isWritable(inNow)) {
-        refuse(inRequestId, "the log that orders idempotency keys cannot be reached", cOutageRetry);
+        refuse(inRequestId, "the claims log cannot be reached", cOutageRetryAfter);
     } else if (mPending.size() >= cMaxPending) {
-        refuse(inRequestId, "too many requests wait for their idempotency keys", cCatchUpRetry);
+        refuse(inRequestId, "too many requests are waiting for idempotency keys",
+               cCatchUpRetryAfter);
     } else {
         const auto [added, isNew] = mPending.insert_or_assign(
             inRequestId,
@@ -56,10 +57,10 @@
     if (pending != mPending.end()) {
         mBatcher.withdraw(pending->second.claimId);
         mPending.erase(pending);
-        refuse(inRequestId, "the request was given up", 0s);
+        refuse(inRequestId, "the request was cancelled", 0s);
         return;
     }
-    // The grant and the cancellation crossed each other.
+    // The cancellation was sent before the grant arrived.
     const auto granted = mGranted.find(inRequestId);
     if (granted == mGranted.end())
         return;
@@ -90,8 +91,8 @@
                                  core::time_point inSentAt, core::time_point inNow)
 {
     mReadable = true;
-    if (!mStartEnd)
-        mStartEnd = inNext;
+    if (!mCatchUpEnd)
+        mCatchUpEnd = inNext;
     for (const stream_record &record : inRecords) {
         if (record.offset < mPosition)
             continue;
@@ -100,43 +101,44 @@
         if (!batch)
             continue;
         const auto effects = mTable.apply(record.offset, record.timeMs, *batch);
-        mBatcher.seen(*batch);
+        mBatcher.batchRead(*batch);
         for (std::size_t index = 0; index < effects.size(); ++index)
             applyRecord(batch->records[index], effects[index], inNow);
     }
-    // Offsets need not start at 0, and an empty stream has no record to tell where they do.
+    // Offsets need not start at 0, and an empty stream has no record that shows where they start.
     if (inRecords.empty())
         mPosition = std::max(mPosition, inNext);
     mLatestReadAt = inNow;
-    mCaughtUp = mCaughtUp || mPosition >= *mStartEnd;
+    mCaughtUp = mCaughtUp || mPosition >= *mCatchUpEnd;
     if (mPosition >= inNext)
         mBatcher.readToEnd(inSentAt, inNow);
 }
 
 void claim_coordinator::pageExpired(std::uint64_t inFirst)
 {
-    // Claims may have been missed, so that the state is built again from what the log still has.
+    // Claims may have been missed, so the state is rebuilt from the records that the log still has.
     const bool hadRead = mPosition > 0;
     mPosition = inFirst;
-    mStartEnd.reset();
+    mCatchUpEnd.reset();
     mCaughtUp = false;
     if (!hadRead)
         return;
     mTable.clear();
-    refuseClaiming("the claims stream has to be read again", cCatchUpRetry);
+    refuseClaiming("records of the claims stream expired before they were read",
+                   cCatchUpRetryAfter);
 }
 
 void claim_coordinator::readFailed(core::time_point)
 {
     mReadable = false;
-    refuseClaiming("the log that orders idempotency keys cannot be read", cOutageRetry);
+    refuseClaiming("the claims log cannot be read", cOutageRetryAfter);
 }
 
 claim_coordinator::actions claim_coordinator::poll(core::time_point inNow)
 {
     actions result;
     checkAppends(inNow);
-    giveUpOverdue(inNow);
+    expirePending(inNow);
     result.append = mBatcher.poll(inNow);
     result.readNow = mBatcher.needsRead();
     result.results.swap(mResults);
@@ -146,7 +148,7 @@
     };
     wakeBy(mBatcher.nextPoll());
     if (const auto sentAt = mBatcher.sentAt(); sentAt && !mPending.empty())
-        wakeBy(std::max(*sentAt + cAppendPatience, inNow + 100ms));
+        wakeBy(std::max(*sentAt + cAppendTimeout, inNow + 100ms));
     for (const auto &[id, request] : mPending)
         wakeBy(request.deadline);
     return result;
@@ -154,7 +156,7 @@
 
 std::int64_t claim_coordinator::logTimeMs(core::time_point inNow) const
 {
-    // The latest record may be older than its reading; then keys are held a little longer.
+    // The latest record may be older than the time it was read; keys are then held slightly longer.
     const core::duration since = inNow - mLatestReadAt;
     return mTable.latestTimeMs()
         + std::chrono::duration_cast<std::chrono::milliseconds>(since).count();
@@ -162,7 +164,7 @@
 
 void claim_coordinator::claimOrWait(pending_map::iterator inPending, core::time_point inNow)
 {
-    if (decideByHolder(inPending, inNow))
+    if (answerFromHolder(inPending, inNow))
         return;
     pending_request &request = inPending->second;
     request.claimId.clear();
@@ -179,8 +181,8 @@
                  inNow);
 }
 
-/// Answers a request if the holder of its key decides it.
-bool claim_coordinator::decideByHolder(pending_map::iterator inPending, core::time_point inNow)
+/// Answers a request if the state of the key's holder decides it. Returns whether it did.
+bool claim_coordinator::answerFromHolder(pending_map::iterator inPending, core::time_point inNow)
 {
     const pending_request &request = inPending->second;
     const claim_holder *holder = mTable.find(request.key, logTimeMs(inNow));
@@ -188,20 +190,20 @@
         return false;
     result decided;
     if (holder->requestDigest != request.requestDigest) {
-        decided.verdict = claim_verdict::conflict;
+        decided.decision = claim_decision::conflict;
         decided.error
             = {core::error_kind::conflict, "the idempotency key was used for a different request",
                "use a new key for a new request"};
     } else if (holder->done && holder->status != 0) {
-        decided.verdict = claim_verdict::answered;
+        decided.decision = claim_decision::answered;
         decided.status = holder->status;
         decided.contentType = holder->contentType;
         decided.body = holder->body;
     } else if (holder->done) {
-        decided.verdict = claim_verdict::unknown;
+        decided.decision = claim_decision::unknown;
         decided.error = {core::error_kind::conflict,
-                         "the request with this idempotency key completed; its answer was too long "
-                         "to be kept",
+                         "the request with this idempotency key completed, but its answer was too "
+                         "long to be stored",
                          "look up the result at the application; do not send it under a new key"};
     } else {
         return false;
@@ -234,7 +236,7 @@
     const auto found = std::ranges::find_if(
         mPending, [&](const auto &inItem) { return inItem.second.claimId == inRecord.claimId; });
     if (found == mPending.end()) {
-        // Its request was given up meanwhile.
+        // Its request was cancelled or refused in the meantime.
         if (inHeld)
             addRelease(inRecord.key, inRecord.claimId, inNow);
         return;
@@ -243,18 +245,20 @@
         claimOrWait(found, inNow);
     } else if (inNow >= found->second.deadline) {
         addRelease(inRecord.key, inRecord.claimId, inNow);
-        refuse(found->first, "the idempotency key was not ordered in time", cCatchUpRetry);
+        refuse(found->first, "the idempotency key could not be claimed in time",
+               cCatchUpRetryAfter);
         mPending.erase(found);
     } else {
-        mGranted.insert_or_assign(found->first,
-                                  granted_claim{.key = inRecord.key,
-                                                .claimId = inRecord.claimId,
-                                                .forgetAt = found->second.deadline + cGrantMemory});
-        answer(found, {.verdict = claim_verdict::granted, .claimId = inRecord.claimId});
+        mGranted.insert_or_assign(
+            found->first,
+            granted_claim{.key = inRecord.key,
+                          .claimId = inRecord.claimId,
+                          .expiresAt = found->second.deadline + cGrantRetention});
+        answer(found, {.decision = claim_decision::granted, .claimId = inRecord.claimId});
     }
 }
 
-/// The holder of a key finished or released it: requests that wait for it go on.
+/// Continues the requests that wait for a key after its holder finished or released it.
 void claim_coordinator::keyChanged(const std::string &inKey, core::time_point inNow)
 {
     for (auto item = mPending.begin(); item != mPending.end();) {
@@ -276,14 +280,14 @@
                                core::duration inRetryAfter)
 {
     mResults.push_back({.requestId = inRequestId,
-                        .verdict = claim_verdict::refused,
+                        .decision = claim_decision::refused,
                         .error = {core::error_kind::unavailable, std::move(inMessage),
                                   "send the request again with the same idempotency key"},
                         .retryAfter = inRetryAfter});
 }
 
-/// Refuses the requests whose claims are on their way; a claim that still takes effect is released
-/// when it is read. Requests that wait for another holder go on waiting.
+/// Refuses the requests whose claims are queued or in flight. A claim that still takes effect is
+/// released when it is read. Requests that wait for another holder continue to wait.
 void claim_coordinator::refuseClaiming(const std::string &inMessage, core::duration inRetryAfter)
 {
     for (auto item = mPending.begin(); item != mPending.end();) {
@@ -296,7 +300,7 @@
     }
 }
 
-void claim_coordinator::giveUpOverdue(core::time_point inNow)
+void claim_coordinator::expirePending(core::time_point inNow)
 {
     for (auto item = mPending.begin(); item != mPending.end();) {
         const auto current = item++;
@@ -304,32 +308,33 @@
             continue;
         if (current->second.claimId.empty()) {
             answer(current,
-                   {.verdict = claim_verdict::unknown,
+                   {.decision = claim_decision::unknown,
                     .error = {core::error_kind::conflict,
                               "another request with this idempotency key has not finished",
                               "send it again with the same key to get the result, or look it up at "
                               "the application; do not use a new key"}});
         } else {
             mBatcher.withdraw(current->second.claimId);
-            refuse(current->first, "the idempotency key was not ordered in time", cCatchUpRetry);
+            refuse(current->first, "the idempotency key could not be claimed in time",
+                   cCatchUpRetryAfter);
             mPending.erase(current);
         }
     }
-    std::erase_if(mGranted, [&](const auto &inItem) { return inItem.second.forgetAt <= inNow; });
+    std::erase_if(mGranted, [&](const auto &inItem) { return inItem.second.expiresAt <= inNow; });
 }
 
-/// Refuses claims for a while when the log cannot be written.
+/// Refuses claims for cRefusalTime if the log cannot be written.
 void claim_coordinator::checkAppends(core::time_point inNow)
 {
     const auto sentAt = mBatcher.sentAt();
-    const bool isSilent = sentAt && inNow - *sentAt >= cAppendPatience;
+    const bool hasTimedOut = sentAt && inNow - *sentAt >= cAppendTimeout;
     const int failures = mBatcher.failures();
     const bool hasFailed = failures >= cMaxFailures && failures != mFailuresSeen;
     mFailuresSeen = failures;
-    if (!isSilent && !hasFailed)
+    if (!hasTimedOut && !hasFailed)
         return;
     mRefuseUntil = inNow + cRefusalTime;
-    refuseClaiming("the log that orders idempotency keys cannot be written", cOutageRetry);
+    refuseClaiming("the claims log cannot be written", cOutageRetryAfter);
 }
 
 void claim_coordinator::addRelease(const std::string &inKey, const std::string &inClaimId,
--- a/corneltally/entry/owned_endpoint.h
+++ b/corneltally/entry/owned_endpoint.h
@@ -5,8 +5,8 @@
 #include "corneltally/entry/dispatch_messages.h"
 #include "corneltally/entry/owned_endpoint_options.h"
 #include "corneltally/entry/owned_run.h"
+#include "corneltally/ownership/endpoint_ownership.h"
 #include "corneltally/ownership/lease.h"
-#include "corneltally/ownership/takeover.h"
 #include "corneltally/scheduling/adapter_slots.h"
 #include "corneltally/scheduling/endpoint_health.h"
 #include "corneltally/scheduling/endpoint_queue.h"
@@ -136,7 +136,7 @@
     bool mWanted = false;
     bool mDraining = false;
 
-    ownership::takeover mTakeover;
+    ownership::endpoint_ownership mTakeover;
     ownership::lease mLease;
     bool mLeaseHeld = false;
     /// Tells the answers of an earlier acquisition or ownership from current ones.
--- a/corneltally/forwarding/front_service.cpp
+++ b/corneltally/forwarding/front_service.cpp
@@ -80,7 +80,7 @@
     ioRegistry.handle<fleet::instances_changed>(
         cName, [this](const fleet::instances_changed &inChanged) {
             mContext.allowance.setPeers(inChanged.members, core::boot_clock::now());
-            mContext.retries.setInstances(static_cast<int>(inChanged.members.size()) + 1);
+            mContext.retries.setInstanceCount(static_cast<int>(inChanged.members.size()) + 1);
             std::set<std::string> live{mOptions.instance};
             for (const auto &[name, domain] : inChanged.live)
                 live.insert(name);
@@ -186,7 +186,7 @@
         names.push_back(account.name);
         mContext.allowance.configure(account.name, account.ratePerSecond, account.burst, now);
     }
-    mContext.allowance.keepOnly(names);
+    mContext.allowance.retainAccounts(names);
 }
 
 void front_service::endpointChanged(const std::string &inEndpoint)
@@ -221,8 +221,8 @@
                                      now);
         for (const fleet::answer_pause &seen : beat->pauses)
             mContext.book.notePause(seen.endpoint, seen.pause);
-        mContext.allowance.applyPeer(inReceived.instance, inReceived.incarnation, beat->accountUses,
-                                     now);
+        mContext.allowance.applyPeerTotals(inReceived.instance, inReceived.incarnation,
+                                           beat->accountUses, now);
     }
 }
 
@@ -257,7 +257,7 @@
 void front_service::paused()
 {
     mContext.book.forgetHearsay();
-    mContext.allowance.distrust(core::boot_clock::now());
+    mContext.allowance.resetAfterPause(core::boot_clock::now());
 }
 
 std::string front_service::dump() const
