--- a/corneltally/forwarding/attempt_rules.cpp
+++ b/corneltally/forwarding/attempt_rules.cpp
@@ -2,51 +2,51 @@
 
 namespace corneltally::forwarding {
 
-std::string_view toString(run_statement inStatement)
+std::string_view toString(run_state inState)
 {
-    switch (inStatement) {
-    case run_statement::not_run:
+    switch (inState) {
+    case run_state::not_run:
         return "not_run";
-    case run_statement::ran:
+    case run_state::ran:
         return "ran";
-    case run_statement::unknown:
+    case run_state::unknown:
         break;
     }
     return "unknown";
 }
 
-run_statement statementAfter(const attempt_facts &inFacts)
+run_state runStateAfter(const attempt_facts &inFacts)
 {
-    switch (inFacts.end) {
-    case attempt_end::not_sent:
-    case attempt_end::refused:
-        return inFacts.before;
-    case attempt_end::failure_answered:
-        return run_statement::ran;
-    case attempt_end::broken:
+    switch (inFacts.result) {
+    case attempt_result::not_sent:
+    case attempt_result::refused:
+        return inFacts.stateBefore;
+    case attempt_result::failure_answered:
+        return run_state::ran;
+    case attempt_result::broken:
         break;
     }
-    return inFacts.before == run_statement::ran ? run_statement::ran : run_statement::unknown;
+    return inFacts.stateBefore == run_state::ran ? run_state::ran : run_state::unknown;
 }
 
 next_step stepAfter(const attempt_facts &inFacts)
 {
     const bool repeatable = routing::mayRepeat(inFacts.kind);
-    const run_statement statement = statementAfter(inFacts);
-    const bool mayGoOn = statement == run_statement::not_run || repeatable;
+    const run_state state = runStateAfter(inFacts);
+    const bool maySendAgain = state == run_state::not_run || repeatable;
     // An attempt that reached nobody does not count against the endpoints of a request.
-    const bool endpointsLeft
-        = inFacts.end == attempt_end::not_sent || inFacts.endpointsUsed < inFacts.maxEndpoints;
-    if (inFacts.answerBegun && inFacts.kind != routing::repetition::resumable_stream)
+    const bool endpointsLeft = inFacts.result == attempt_result::not_sent
+        || inFacts.endpointsUsed < inFacts.maxEndpoints;
+    if (inFacts.answerStarted && inFacts.kind != routing::repetition::resumable_stream)
         return next_step::abort;
-    if (mayGoOn && endpointsLeft && inFacts.timeLeft >= cLeastAttemptTime)
+    if (maySendAgain && endpointsLeft && inFacts.timeLeft >= cMinAttemptTime)
         return next_step::try_other;
-    if (inFacts.answerBegun)
+    if (inFacts.answerStarted)
         return next_step::abort;
-    if (inFacts.end == attempt_end::failure_answered)
+    if (inFacts.result == attempt_result::failure_answered)
         return next_step::pass_failure;
     // A repeatable request may come again whatever became of it.
-    return statement == run_statement::not_run ? next_step::refuse : next_step::answer_unknown;
+    return state == run_state::not_run ? next_step::refuse : next_step::answer_unknown;
 }
 
 } // namespace corneltally::forwarding
--- a/corneltally/forwarding/attempt_rules.h
+++ b/corneltally/forwarding/attempt_rules.h
@@ -8,7 +8,7 @@
 namespace corneltally::forwarding {
 
 /// What is proven of the runs of a request so far.
-enum class run_statement {
+enum class run_state {
     /// It did not run and never will.
     not_run,
     /// An endpoint ran it.
@@ -17,10 +17,10 @@
     unknown,
 };
 
-std::string_view toString(run_statement inStatement);
+std::string_view toString(run_state inState);
 
 /// How an attempt at one endpoint ended.
-enum class attempt_end {
+enum class attempt_result {
     /// No byte reached the endpoint.
     not_sent,
     /// The endpoint states that it did not run the request.
@@ -34,15 +34,15 @@
 /// What is known when an attempt has ended without a success.
 struct attempt_facts
 {
-    attempt_end end = attempt_end::broken;
+    attempt_result result = attempt_result::broken;
     routing::repetition kind = routing::repetition::once;
     /// Endpoints to which the request was sent, this one included.
     int endpointsUsed = 1;
     int maxEndpoints = 1;
     /// Whether the caller has already got a part of an answer.
-    bool answerBegun = false;
+    bool answerStarted = false;
     /// Statement on the attempts before this one.
-    run_statement before = run_statement::not_run;
+    run_state stateBefore = run_state::not_run;
     core::duration timeLeft{};
 };
 
@@ -61,10 +61,10 @@
 };
 
 /// Least time for which another attempt is worth while.
-inline constexpr core::duration cLeastAttemptTime = std::chrono::milliseconds(30);
+inline constexpr core::duration cMinAttemptTime = std::chrono::milliseconds(30);
 
 /// Statement after an attempt.
-run_statement statementAfter(const attempt_facts &inFacts);
+run_state runStateAfter(const attempt_facts &inFacts);
 
 /// Next step after an attempt. If try_other is not possible, ask again with endpointsUsed at the
 /// maximum.
--- a/corneltally/forwarding/forward_run.cpp
+++ b/corneltally/forwarding/forward_run.cpp
@@ -155,13 +155,13 @@
     if (!choice) {
         if (mFailureKept)
             passFailure();
-        else if (mStatement == run_statement::not_run)
+        else if (mRunState == run_state::not_run)
             refuseBusy("no endpoint can serve the request");
         else
             answerUnknown("no other endpoint can serve the request");
         return;
     }
-    if (choice->estimate > timeLeft() && !mAnswerBegun && mStatement == run_statement::not_run) {
+    if (choice->estimate > timeLeft() && !mAnswerStarted && mRunState == run_state::not_run) {
         refuseBusy("the estimated wait is longer than the time left");
         return;
     }
@@ -289,69 +289,69 @@
     using kind = http1::exchange_end::kind;
     if (inEnd.outcome != kind::complete) {
         mUpstream.reset();
-        attemptEnded(inEnd.sent ? attempt_end::broken : attempt_end::not_sent, inEnd.reason);
+        attemptEnded(inEnd.sent ? attempt_result::broken : attempt_result::not_sent, inEnd.reason);
         return;
     }
     mContext.pool.give(std::move(mUpstream));
     const bool encoded = http1::findField(mHead.fields, "Content-Encoding").has_value();
     if (mAnswer.notExecuted)
-        attemptEnded(attempt_end::refused, mAnswer.otherEndpoint ? "misdirected" : "shed");
+        attemptEnded(attempt_result::refused, mAnswer.otherEndpoint ? "misdirected" : "shed");
     else if (mAnswer.status / 100 == 2 && mAnswer.sealed && !encoded)
         answerComplete();
     else if (mAnswer.status / 100 == 2 || !mAnswer.sealed)
-        attemptEnded(attempt_end::broken, "the answer is not the endpoint's");
+        attemptEnded(attempt_result::broken, "the answer is not the endpoint's");
     else if (mAnswer.status >= 500)
-        attemptEnded(attempt_end::failure_answered, "the endpoint failed");
+        attemptEnded(attempt_result::failure_answered, "the endpoint failed");
     else
         passFailure();
 }
 
-void forward_run::attemptEnded(attempt_end inEnd, std::string_view inReason)
+void forward_run::attemptEnded(attempt_result inResult, std::string_view inReason)
 {
     const core::time_point now = core::boot_clock::now();
     engines::endpoint *target = mContext.book.find(mChoice.endpoint);
     const bool sameStart = target != nullptr && target->entry.startedMs == mEndpointStart;
-    const attempt_facts facts{.end = inEnd,
+    const attempt_facts facts{.result = inResult,
                               .kind = mRoute->kind,
                               .endpointsUsed = static_cast<int>(mUsedEndpoints.size()),
                               .maxEndpoints = mRoute->maxEndpoints,
-                              .answerBegun = mAnswerBegun,
-                              .before = mStatement,
+                              .answerStarted = mAnswerStarted,
+                              .stateBefore = mRunState,
                               .timeLeft = timeLeft()};
-    mStatement = statementAfter(facts);
+    mRunState = runStateAfter(facts);
     core::logEvent(core::log_level::info, "attempt_failed",
                    {{"request", mTerms.requestId},
                     {"endpoint", mChoice.endpoint},
                     {"status", mHeadSeen ? mAnswer.status : 0},
                     {"reason", inReason},
-                    {"run", toString(mStatement)},
+                    {"run", toString(mRunState)},
                     {"ms", inMs(now - mSentAt)}});
     mContext.metrics.count("attempts_failed_total{reason=\"" + std::string(inReason) + "\"}");
-    mFailureKept = inEnd == attempt_end::failure_answered;
-    const bool loading = inEnd == attempt_end::refused && !mWork.adapter.empty();
+    mFailureKept = inResult == attempt_result::failure_answered;
+    const bool loading = inResult == attempt_result::refused && !mWork.adapter.empty();
     if (sameStart) {
-        if (loading || inEnd == attempt_end::refused)
+        if (loading || inResult == attempt_result::refused)
             target->health.abandoned();
         else
             target->health.failed(now);
-        if (inEnd == attempt_end::not_sent) {
+        if (inResult == attempt_result::not_sent) {
             mContext.pool.forget(target->entry.address);
             target->notBefore = now + cUnreachablePause;
         }
     }
     endLoad();
-    if (inEnd == attempt_end::not_sent) {
+    if (inResult == attempt_result::not_sent) {
         --mSends;
         mUsedEndpoints.erase(mChoice.endpoint);
     }
     if (loading && sameStart && retryAfterLoad(inReason))
         return;
-    if (mAnswer.otherEndpoint && inEnd == attempt_end::refused && sameStart
+    if (mAnswer.otherEndpoint && inResult == attempt_result::refused && sameStart
         && mWork.adapter.empty())
         target->notBefore = now + cOtherEndpointPause;
     mWork.excluded.insert(mChoice.endpoint);
     next_step step = stepAfter(facts);
-    if (step == next_step::try_other && inEnd != attempt_end::not_sent
+    if (step == next_step::try_other && inResult != attempt_result::not_sent
         && !mContext.retries.tryRepeat(mService->name, now)) {
         attempt_facts last = facts;
         last.endpointsUsed = last.maxEndpoints;
@@ -380,7 +380,7 @@
 {
     if (mState == state::done)
         return;
-    if (mAnswerBegun) {
+    if (mAnswerStarted) {
         breakOff("the time of the route is over");
         return;
     }
@@ -390,10 +390,10 @@
         if (target != nullptr && target->entry.startedMs == mEndpointStart)
             target->health.failed(core::boot_clock::now());
         dropAttempt();
-        if (sent && mStatement == run_statement::not_run)
-            mStatement = run_statement::unknown;
+        if (sent && mRunState == run_state::not_run)
+            mRunState = run_state::unknown;
     }
-    if (mStatement == run_statement::not_run)
+    if (mRunState == run_state::not_run)
         refuseBusy("the time is over");
     else
         answerUnknown("the time is over");
@@ -415,8 +415,8 @@
         target->health.abandoned();
     const bool sent = mUpstream && mUpstream->sent();
     dropAttempt();
-    if (sent && mStatement == run_statement::not_run)
-        mStatement = run_statement::unknown;
+    if (sent && mRunState == run_state::not_run)
+        mRunState = run_state::unknown;
     mState = state::done;
     finish(0, "caller_left", "the caller closed the connection");
 }
--- a/corneltally/forwarding/forward_run.h
+++ b/corneltally/forwarding/forward_run.h
@@ -57,7 +57,7 @@
     void checkAdapter();
     void orderAdapter();
     void send();
-    void attemptEnded(attempt_end inEnd, std::string_view inReason);
+    void attemptEnded(attempt_result inResult, std::string_view inReason);
     void headArrived(const http1::response_head &inHead);
     void bodyArrived(std::string_view inData);
     void exchangeEnded(const http1::exchange_end &inEnd);
@@ -116,7 +116,7 @@
     event_splitter mSplitter;
     std::string mLastEventId;
     state mState = state::received;
-    run_statement mStatement = run_statement::not_run;
+    run_state mRunState = run_state::not_run;
     std::set<std::string> mUsedEndpoints;
     int mSends = 0;
     int mLoadRetries = 0;
@@ -125,7 +125,7 @@
     bool mHeadSeen = false;
     /// The last attempt ended with an endpoint's own failure, which can be passed on.
     bool mFailureKept = false;
-    bool mAnswerBegun = false;
+    bool mAnswerStarted = false;
     bool mWholeAnswer = false;
     double mCharged = 0;
     bool mWaitingCounted = false;
--- a/corneltally/forwarding/forward_run_adapter.cpp
+++ b/corneltally/forwarding/forward_run_adapter.cpp
@@ -166,7 +166,7 @@
         && now - mChoice.readyAt < cLoadTolerance;
     if (!lost && !young && mLoadRetries == 0 && !target.adapters.arriving.contains(key))
         return false;
-    if (mLoadRetries >= mContext.settings.maxLoadRetries || timeLeft() < cLeastAttemptTime
+    if (mLoadRetries >= mContext.settings.maxLoadRetries || timeLeft() < cMinAttemptTime
         || !mContext.retries.tryRepeat(mService->name, now))
         return false;
     ++mLoadRetries;
--- a/corneltally/forwarding/forward_run_answer.cpp
+++ b/corneltally/forwarding/forward_run_answer.cpp
@@ -21,14 +21,14 @@
     return std::chrono::duration_cast<milliseconds>(inDuration).count();
 }
 
-std::string failureBody(int inStatus, std::string_view inReason, run_statement inStatement)
+std::string failureBody(int inStatus, std::string_view inReason, run_state inState)
 {
     const std::string_view remedy = inStatus == 401 ? "send a valid key"
         : inStatus == 404                           ? "use the host and path of a route"
         : inStatus == 429 || inStatus == 503        ? "come back after the time that is stated"
                                                     : "find out whether it ran before repeating it";
     std::string body = R"({"error":{"status":)" + std::to_string(inStatus);
-    body.append(R"(,"run":")").append(toString(inStatement));
+    body.append(R"(,"run":")").append(toString(inState));
     body.append(R"(","message":")").append(core::jsonEscape(inReason));
     body.append(R"(","remedy":")").append(remedy).append("\"}}\n");
     return body;
@@ -71,14 +71,14 @@
     mWholeAnswer
         = !routing::isStream(mRoute->kind) || !isEvents || mAnswer.status != 200 || !mAnswer.sealed;
     // A stream that goes on keeps the head of its first endpoint.
-    if (!mAnswerBegun)
+    if (!mAnswerStarted)
         mHead = inHead;
 }
 
 void forward_run::bodyArrived(std::string_view inData)
 {
     if (mWholeAnswer) {
-        if (!mAnswerBegun)
+        if (!mAnswerStarted)
             mBody.append(inData);
         return;
     }
@@ -87,7 +87,7 @@
 
 void forward_run::beginAnswer(std::optional<std::uint64_t> inLength)
 {
-    mAnswerBegun = true;
+    mAnswerStarted = true;
     mState = state::answering;
     http1::response_head head = mHead;
     http1::removeConnectionFields(head.fields);
@@ -110,7 +110,7 @@
     if (bytes.empty())
         return;
     eventsSeen();
-    if (!mAnswerBegun)
+    if (!mAnswerStarted)
         beginAnswer(std::nullopt);
     mCaller.sendBody(bytes);
     if (!mUpstreamPaused && mCaller.unsentBytes() > mContext.settings.backlogBytes) {
@@ -137,12 +137,12 @@
         reportPause(*target);
     }
     endLoad();
-    mStatement = run_statement::ran;
+    mRunState = run_state::ran;
     if (mWholeAnswer) {
         beginAnswer(mBody.size());
         mCaller.sendBody(mBody);
     } else {
-        if (!mAnswerBegun)
+        if (!mAnswerStarted)
             beginAnswer(std::nullopt);
         mCaller.sendBody(mSplitter.rest());
     }
@@ -165,12 +165,12 @@
 /// Passes the answer of an endpoint on that has failed.
 void forward_run::passFailure()
 {
-    if (mAnswerBegun) {
+    if (mAnswerStarted) {
         breakOff("the endpoint failed");
         return;
     }
     endLoad();
-    mStatement = run_statement::ran;
+    mRunState = run_state::ran;
     const int status = mAnswer.status;
     // These statuses promise that the request has not run, which the endpoint did not state.
     if (status == 408 || status == 429 || status == 503) {
@@ -195,11 +195,11 @@
 void forward_run::refuse(int inStatus, std::string_view inReason,
                          std::optional<core::duration> inRetryAfter)
 {
-    if (mAnswerBegun) {
+    if (mAnswerStarted) {
         breakOff(inReason);
         return;
     }
-    if (mCharged > 0 && mStatement == run_statement::not_run)
+    if (mCharged > 0 && mRunState == run_state::not_run)
         mContext.allowance.giveBack(mAccount, mCharged);
     mState = state::done;
     std::optional<milliseconds> wait;
@@ -207,7 +207,7 @@
         wait = std::chrono::duration_cast<milliseconds>(*inRetryAfter);
     finish(inStatus, "refused", inReason);
     mCaller.respond(platform::encodeOwnAnswer(inStatus, mTerms.requestId, wait),
-                    failureBody(inStatus, inReason, mStatement));
+                    failureBody(inStatus, inReason, mRunState));
 }
 
 void forward_run::refuseBusy(std::string_view inReason)
@@ -217,16 +217,16 @@
 
 void forward_run::answerUnknown(std::string_view inReason)
 {
-    if (mAnswerBegun) {
+    if (mAnswerStarted) {
         breakOff(inReason);
         return;
     }
     // A timer may fire a little before its time.
-    const int status = timeLeft() < cLeastAttemptTime ? 504 : 502;
+    const int status = timeLeft() < cMinAttemptTime ? 504 : 502;
     mState = state::done;
     finish(status, "unknown", inReason);
     mCaller.respond(platform::encodeOwnAnswer(status, mTerms.requestId, std::nullopt),
-                    failureBody(status, inReason, mStatement));
+                    failureBody(status, inReason, mRunState));
 }
 
 void forward_run::finish(int inStatus, std::string_view inOutcome, std::string_view inReason)
@@ -253,7 +253,7 @@
                     {"status", inStatus},
                     {"outcome", inOutcome},
                     {"reason", inReason},
-                    {"run", toString(mStatement)},
+                    {"run", toString(mRunState)},
                     {"estimate_ms", inMs(mChoice.estimate)},
                     {"report_age_ms",
                      target != nullptr && target->holderReportAt != core::time_point()
--- a/tests/unit/forwarding_rules_test.cpp
+++ b/tests/unit/forwarding_rules_test.cpp
@@ -8,26 +8,26 @@
 
 using namespace corneltally;
 using namespace std::chrono_literals;
-using forwarding::attempt_end;
 using forwarding::attempt_facts;
+using forwarding::attempt_result;
 using forwarding::next_step;
-using forwarding::run_statement;
-using forwarding::statementAfter;
+using forwarding::run_state;
+using forwarding::runStateAfter;
 using forwarding::stepAfter;
 using routing::repetition;
 
 TEST_CASE("a request that may have run is never refused, and sent again only if it may be repeated")
 {
     for (const repetition kind : {repetition::once, repetition::once_stream}) {
-        const attempt_facts facts{.end = attempt_end::broken,
+        const attempt_facts facts{.result = attempt_result::broken,
                                   .kind = kind,
                                   .endpointsUsed = 1,
                                   .maxEndpoints = 3,
                                   .timeLeft = 1s};
-        CHECK(statementAfter(facts) == run_statement::unknown);
+        CHECK(runStateAfter(facts) == run_state::unknown);
         CHECK(stepAfter(facts) == next_step::answer_unknown);
     }
-    const attempt_facts repeatable{.end = attempt_end::broken,
+    const attempt_facts repeatable{.result = attempt_result::broken,
                                    .kind = repetition::repeatable,
                                    .endpointsUsed = 1,
                                    .maxEndpoints = 3,
@@ -37,21 +37,21 @@
 
 TEST_CASE("an explicit refusal keeps the statement of the attempts before it")
 {
-    attempt_facts facts{.end = attempt_end::refused,
+    attempt_facts facts{.result = attempt_result::refused,
                         .kind = repetition::repeatable,
                         .endpointsUsed = 2,
                         .maxEndpoints = 2,
                         .timeLeft = 1s};
-    CHECK(statementAfter(facts) == run_statement::not_run);
+    CHECK(runStateAfter(facts) == run_state::not_run);
     CHECK(stepAfter(facts) == next_step::refuse);
-    facts.before = run_statement::unknown;
-    CHECK(statementAfter(facts) == run_statement::unknown);
+    facts.stateBefore = run_state::unknown;
+    CHECK(runStateAfter(facts) == run_state::unknown);
     CHECK(stepAfter(facts) == next_step::answer_unknown);
 }
 
 TEST_CASE("an attempt that reached nobody does not use up an endpoint")
 {
-    const attempt_facts facts{.end = attempt_end::not_sent,
+    const attempt_facts facts{.result = attempt_result::not_sent,
                               .kind = repetition::once,
                               .endpointsUsed = 1,
                               .maxEndpoints = 1,
@@ -61,7 +61,7 @@
 
 TEST_CASE("an endpoint's own failure is passed on where it may not be repeated")
 {
-    attempt_facts facts{.end = attempt_end::failure_answered,
+    attempt_facts facts{.result = attempt_result::failure_answered,
                         .kind = repetition::once,
                         .endpointsUsed = 1,
                         .maxEndpoints = 3,
@@ -75,11 +75,11 @@
 
 TEST_CASE("an answer that was begun goes on or is cut")
 {
-    attempt_facts facts{.end = attempt_end::broken,
+    attempt_facts facts{.result = attempt_result::broken,
                         .kind = repetition::resumable_stream,
                         .endpointsUsed = 1,
                         .maxEndpoints = 2,
-                        .answerBegun = true,
+                        .answerStarted = true,
                         .timeLeft = 1s};
     CHECK(stepAfter(facts) == next_step::try_other);
     facts.endpointsUsed = 2;
