--- a/corneltally/forwarding/forward_run.cpp
+++ b/corneltally/forwarding/forward_run.cpp
@@ -33,8 +33,8 @@
 
 } // namespace
 
-forward_run::forward_run(forward_context &ioContext, http1::server_connection &ioCaller,
-                         http1::server_request inRequest, std::function<void()> inDone)
+forwarded_request::forwarded_request(forward_context &ioContext, http1::server_connection &ioCaller,
+                                     http1::server_request inRequest, std::function<void()> inDone)
     : mContext(ioContext)
     , mCaller(ioCaller)
     , mRequest(std::move(inRequest))
@@ -44,13 +44,13 @@
     , mWake(ioContext.loop, [this] { woken(); })
 { }
 
-forward_run::~forward_run()
+forwarded_request::~forwarded_request()
 {
     endWaiting();
     endLoad();
 }
 
-void forward_run::start()
+void forwarded_request::start()
 {
     mTerms = platform::decodeRequest(mRequest.head);
     if (!mTable) {
@@ -63,7 +63,7 @@
     chooseAndSend();
 }
 
-bool forward_run::resolveRoute()
+bool forwarded_request::resolveRoute()
 {
     if (mTerms.requestId.empty()) {
         refuse(400, "the request has no id");
@@ -94,7 +94,7 @@
     return true;
 }
 
-bool forward_run::admit()
+bool forwarded_request::admit()
 {
     const core::time_point now = core::boot_clock::now();
     if (mService == nullptr) {
@@ -138,12 +138,12 @@
     return true;
 }
 
-core::duration forward_run::timeLeft() const
+core::duration forwarded_request::timeLeft() const
 {
     return mAnswerBy - core::boot_clock::now();
 }
 
-void forward_run::chooseAndSend()
+void forwarded_request::chooseAndSend()
 {
     const core::time_point now = core::boot_clock::now();
     endWaiting();
@@ -179,7 +179,7 @@
     checkAdapter();
 }
 
-void forward_run::send()
+void forwarded_request::send()
 {
     const core::time_point now = core::boot_clock::now();
     mWake.cancel();
@@ -226,7 +226,7 @@
                       .onEnd = [this](const http1::exchange_end &inEnd) { exchangeEnded(inEnd); }});
 }
 
-void forward_run::beginLoad()
+void forwarded_request::beginLoad()
 {
     engines::endpoint &target = *mContext.book.find(mChoice.endpoint);
     mMemoryTokens = mWork.promptTokens + mWork.answerTokens;
@@ -242,7 +242,7 @@
 }
 
 /// Notes the pauses of a stream.
-void forward_run::eventsSeen()
+void forwarded_request::eventsSeen()
 {
     const core::time_point now = core::boot_clock::now();
     if (mFirstByteAt)
@@ -251,7 +251,7 @@
     firstEventSeen();
 }
 
-void forward_run::firstEventSeen()
+void forwarded_request::firstEventSeen()
 {
     if (!mFirstByteAt)
         mFirstByteAt = core::boot_clock::now();
@@ -263,7 +263,7 @@
         target->own.promptTokens -= mWork.promptTokens;
 }
 
-void forward_run::endLoad()
+void forwarded_request::endLoad()
 {
     if (!mLoadCounted)
         return;
@@ -284,7 +284,7 @@
     mPromptCounted = false;
 }
 
-void forward_run::exchangeEnded(const http1::exchange_end &inEnd)
+void forwarded_request::exchangeEnded(const http1::exchange_end &inEnd)
 {
     using kind = http1::exchange_end::kind;
     if (inEnd.outcome != kind::complete) {
@@ -306,7 +306,7 @@
         passFailure();
 }
 
-void forward_run::attemptEnded(attempt_result inResult, std::string_view inReason)
+void forwarded_request::attemptEnded(attempt_result inResult, std::string_view inReason)
 {
     const core::time_point now = core::boot_clock::now();
     engines::endpoint *target = mContext.book.find(mChoice.endpoint);
@@ -376,7 +376,7 @@
     breakOff(inReason);
 }
 
-void forward_run::timeOver()
+void forwarded_request::timeOver()
 {
     if (mState == state::done)
         return;
@@ -399,14 +399,14 @@
         answerUnknown("the time is over");
 }
 
-void forward_run::dropAttempt()
+void forwarded_request::dropAttempt()
 {
     // Closing the connection makes the endpoint stop its work.
     mUpstream.reset();
     endLoad();
 }
 
-void forward_run::callerLeft()
+void forwarded_request::callerLeft()
 {
     if (mState == state::done)
         return;
--- a/corneltally/forwarding/forward_run.h
+++ b/corneltally/forwarding/forward_run.h
@@ -22,15 +22,15 @@
 struct forward_context;
 
 /// One request from its arrival to its answer.
-class forward_run
+class forwarded_request
 {
 public:
     /// inDone is called once the request needs nothing more; the run may be destroyed later.
-    forward_run(forward_context &ioContext, http1::server_connection &ioCaller,
-                http1::server_request inRequest, std::function<void()> inDone);
-    ~forward_run();
-    forward_run(const forward_run &) = delete;
-    forward_run &operator=(const forward_run &) = delete;
+    forwarded_request(forward_context &ioContext, http1::server_connection &ioCaller,
+                      http1::server_request inRequest, std::function<void()> inDone);
+    ~forwarded_request();
+    forwarded_request(const forwarded_request &) = delete;
+    forwarded_request &operator=(const forwarded_request &) = delete;
 
     void start();
 
@@ -43,7 +43,7 @@
     /// Knowledge of an endpoint changed, for a request that waits for an adapter there.
     void endpointChanged(std::string_view inEndpoint);
 
-    bool waitsFor(std::string_view inEndpoint) const
+    bool isWaitingFor(std::string_view inEndpoint) const
     {
         return mState == state::waiting && mChoice.endpoint == inEndpoint;
     }
--- a/corneltally/forwarding/forward_run_adapter.cpp
+++ b/corneltally/forwarding/forward_run_adapter.cpp
@@ -28,7 +28,7 @@
 } // namespace
 
 /// Asks the holder of the engine for the adapter.
-void forward_run::orderAdapter()
+void forwarded_request::orderAdapter()
 {
     ++mLoadsAsked;
     engines::endpoint &target = *mContext.book.find(mChoice.endpoint);
@@ -46,7 +46,7 @@
 }
 
 /// Counts the request among those that wait for a load at the endpoint.
-void forward_run::noteWaiting(engines::endpoint &ioTarget)
+void forwarded_request::noteWaiting(engines::endpoint &ioTarget)
 {
     if (mWaitingCounted)
         return;
@@ -54,7 +54,7 @@
     ++ioTarget.ownWaiting[engines::adapterKey(mWork.model, mWork.adapter)];
 }
 
-void forward_run::endWaiting()
+void forwarded_request::endWaiting()
 {
     if (!mWaitingCounted)
         return;
@@ -67,7 +67,7 @@
         target->ownWaiting.erase(found);
 }
 
-bool forward_run::adapterThere() const
+bool forwarded_request::adapterThere() const
 {
     const engines::endpoint *target = mContext.book.find(mChoice.endpoint);
     const auto found
@@ -76,7 +76,7 @@
 }
 
 /// Sends a waiting request if its adapter is there, or sets the time at which it should be.
-void forward_run::checkAdapter()
+void forwarded_request::checkAdapter()
 {
     const core::time_point now = core::boot_clock::now();
     const engines::endpoint *target = mContext.book.find(mChoice.endpoint);
@@ -104,13 +104,13 @@
     }
 }
 
-void forward_run::endpointChanged(std::string_view inEndpoint)
+void forwarded_request::endpointChanged(std::string_view inEndpoint)
 {
-    if (waitsFor(inEndpoint))
+    if (isWaitingFor(inEndpoint))
         checkAdapter();
 }
 
-void forward_run::woken()
+void forwarded_request::woken()
 {
     if (mState != state::waiting)
         return;
@@ -144,7 +144,7 @@
 }
 
 /// Tells the holder of an engine whether requests of this instance run on the adapter.
-void forward_run::tellRunning(const engines::endpoint &inTarget, bool inRunning)
+void forwarded_request::tellRunning(const engines::endpoint &inTarget, bool inRunning)
 {
     fleet::adapter_running change{mChoice.endpoint, mEndpointStart,
                                   engines::adapterKey(mWork.model, mWork.adapter), inRunning};
@@ -156,7 +156,7 @@
 
 /// An engine that refuses for an adapter that is on its way, or that it lost, gets the request
 /// again once the adapter is there.
-bool forward_run::retryAfterLoad(std::string_view inReason)
+bool forwarded_request::retryAfterLoad(std::string_view inReason)
 {
     const core::time_point now = core::boot_clock::now();
     engines::endpoint &target = *mContext.book.find(mChoice.endpoint);
--- a/corneltally/forwarding/forward_run_answer.cpp
+++ b/corneltally/forwarding/forward_run_answer.cpp
@@ -53,7 +53,7 @@
 
 } // namespace
 
-core::duration forward_run::retryAfter() const
+core::duration forwarded_request::retryAfter() const
 {
     constexpr std::uint64_t cSteps = 1000;
     const auto step = static_cast<long long>(core::stableHash(mTerms.requestId) % cSteps);
@@ -61,7 +61,7 @@
         + mContext.settings.retryAfterSpread * step / static_cast<long long>(cSteps);
 }
 
-void forward_run::headArrived(const http1::response_head &inHead)
+void forwarded_request::headArrived(const http1::response_head &inHead)
 {
     mHeadSeen = true;
     mAnswer = platform::decodeAnswer(inHead);
@@ -75,7 +75,7 @@
         mHead = inHead;
 }
 
-void forward_run::bodyArrived(std::string_view inData)
+void forwarded_request::bodyArrived(std::string_view inData)
 {
     if (mWholeAnswer) {
         if (!mAnswerStarted)
@@ -85,7 +85,7 @@
     forwardEvents(inData);
 }
 
-void forward_run::beginAnswer(std::optional<std::uint64_t> inLength)
+void forwarded_request::beginAnswer(std::optional<std::uint64_t> inLength)
 {
     mAnswerStarted = true;
     mState = state::answering;
@@ -94,7 +94,7 @@
     mCaller.startResponse(std::move(head), inLength);
 }
 
-void forward_run::forwardEvents(std::string_view inData)
+void forwarded_request::forwardEvents(std::string_view inData)
 {
     std::string bytes;
     for (event_splitter::event &event : mSplitter.feed(inData)) {
@@ -119,7 +119,7 @@
     }
 }
 
-void forward_run::callerDrained()
+void forwarded_request::callerDrained()
 {
     if (!mUpstreamPaused || !mUpstream)
         return;
@@ -127,7 +127,7 @@
     mUpstream->setReading(true);
 }
 
-void forward_run::answerComplete()
+void forwarded_request::answerComplete()
 {
     const core::time_point now = core::boot_clock::now();
     firstEventSeen();
@@ -153,7 +153,7 @@
 
 /// Adds the longest pause of an answer to what the instances know of the endpoint. The pause of one
 /// that went on at another endpoint says nothing.
-void forward_run::reportPause(const engines::endpoint &inTarget)
+void forwarded_request::reportPause(const engines::endpoint &inTarget)
 {
     if (mSends > 1 || mLongestPause < engines::endpoint_book::sReadingPause)
         return;
@@ -163,7 +163,7 @@
 }
 
 /// Passes the answer of an endpoint on that has failed.
-void forward_run::passFailure()
+void forwarded_request::passFailure()
 {
     if (mAnswerStarted) {
         breakOff("the endpoint failed");
@@ -185,15 +185,15 @@
 }
 
 /// Ends an answer that was begun and can't be completed, so that the caller sees that it is cut.
-void forward_run::breakOff(std::string_view inReason)
+void forwarded_request::breakOff(std::string_view inReason)
 {
     dropAttempt();
     finish(mHead.status, "broken_off", inReason);
     mCaller.abort();
 }
 
-void forward_run::refuse(int inStatus, std::string_view inReason,
-                         std::optional<core::duration> inRetryAfter)
+void forwarded_request::refuse(int inStatus, std::string_view inReason,
+                               std::optional<core::duration> inRetryAfter)
 {
     if (mAnswerStarted) {
         breakOff(inReason);
@@ -210,12 +210,12 @@
                     failureBody(inStatus, inReason, mRunState));
 }
 
-void forward_run::refuseBusy(std::string_view inReason)
+void forwarded_request::refuseBusy(std::string_view inReason)
 {
     refuse(503, inReason, retryAfter());
 }
 
-void forward_run::answerUnknown(std::string_view inReason)
+void forwarded_request::answerUnknown(std::string_view inReason)
 {
     if (mAnswerStarted) {
         breakOff(inReason);
@@ -229,7 +229,7 @@
                     failureBody(status, inReason, mRunState));
 }
 
-void forward_run::finish(int inStatus, std::string_view inOutcome, std::string_view inReason)
+void forwarded_request::finish(int inStatus, std::string_view inOutcome, std::string_view inReason)
 {
     const core::time_point now = core::boot_clock::now();
     mState = state::done;
--- a/corneltally/forwarding/front_service.cpp
+++ b/corneltally/forwarding/front_service.cpp
@@ -93,7 +93,7 @@
 front_service::~front_service()
 {
     for (auto &[id, entry] : mCallers)
-        entry.run.reset();
+        entry.request.reset();
 }
 
 void front_service::start()
@@ -125,8 +125,8 @@
                            .onDrained =
                                [this, id] {
                                    const auto found = mCallers.find(id);
-                                   if (found != mCallers.end() && found->second.run)
-                                       found->second.run->callerDrained();
+                                   if (found != mCallers.end() && found->second.request)
+                                       found->second.request->callerDrained();
                                },
                            .onClosed = [this, id] { callerClosed(id); }});
     mCallers.emplace(id, caller{std::move(connection), nullptr});
@@ -138,20 +138,21 @@
     caller &entry = mCallers.at(inCaller);
     if (mDraining)
         entry.connection->closeWhenIdle();
-    buryLater(std::move(entry.run), nullptr);
-    entry.run = std::make_unique<forward_run>(mContext, *entry.connection, std::move(inRequest),
-                                              [this, inCaller] { runEnded(inCaller); });
+    destroyLater(std::move(entry.request), nullptr);
+    entry.request
+        = std::make_unique<forwarded_request>(mContext, *entry.connection, std::move(inRequest),
+                                              [this, inCaller] { requestEnded(inCaller); });
     ++mRunning;
-    entry.run->start();
+    entry.request->start();
 }
 
-void front_service::runEnded(std::uint64_t inCaller)
+void front_service::requestEnded(std::uint64_t inCaller)
 {
     --mRunning;
     const auto found = mCallers.find(inCaller);
     // The run may be inside one of its own calls.
     if (found != mCallers.end())
-        buryLater(std::move(found->second.run), nullptr);
+        destroyLater(std::move(found->second.request), nullptr);
 }
 
 void front_service::callerClosed(std::uint64_t inCaller)
@@ -161,19 +162,19 @@
         return;
     caller entry = std::move(found->second);
     mCallers.erase(found);
-    if (entry.run) {
-        entry.run->callerLeft();
+    if (entry.request) {
+        entry.request->callerLeft();
     }
-    buryLater(std::move(entry.run), std::move(entry.connection));
+    destroyLater(std::move(entry.request), std::move(entry.connection));
 }
 
-void front_service::buryLater(std::unique_ptr<forward_run> inRun,
-                              std::unique_ptr<http1::server_connection> inConnection)
+void front_service::destroyLater(std::unique_ptr<forwarded_request> inRequest,
+                                 std::unique_ptr<http1::server_connection> inConnection)
 {
-    if (!inRun && !inConnection)
+    if (!inRequest && !inConnection)
         return;
     mContext.loop.post(
-        [run = std::shared_ptr<forward_run>(std::move(inRun)),
+        [request = std::shared_ptr<forwarded_request>(std::move(inRequest)),
          connection = std::shared_ptr<http1::server_connection>(std::move(inConnection))] {});
 }
 
@@ -192,13 +193,13 @@
 void front_service::endpointChanged(const std::string &inEndpoint)
 {
     // A request that is served now may change the list.
-    std::vector<forward_run *> waiting;
+    std::vector<forwarded_request *> waiting;
     for (auto &[id, entry] : mCallers) {
-        if (entry.run && entry.run->waitsFor(inEndpoint))
-            waiting.push_back(entry.run.get());
+        if (entry.request && entry.request->isWaitingFor(inEndpoint))
+            waiting.push_back(entry.request.get());
     }
-    for (forward_run *run : waiting)
-        run->endpointChanged(inEndpoint);
+    for (forwarded_request *request : waiting)
+        request->endpointChanged(inEndpoint);
 }
 
 void front_service::engineStateReceived(const std::string &inHolder,
--- a/corneltally/forwarding/front_service.h
+++ b/corneltally/forwarding/front_service.h
@@ -17,7 +17,7 @@
 
 namespace corneltally::forwarding {
 
-class forward_run;
+class forwarded_request;
 
 struct front_options
 {
@@ -69,20 +69,20 @@
     struct caller
     {
         std::unique_ptr<http1::server_connection> connection;
-        std::unique_ptr<forward_run> run;
+        std::unique_ptr<forwarded_request> request;
     };
 
     void accept(int inSocket);
     void requestArrived(std::uint64_t inCaller, http1::server_request inRequest);
-    void runEnded(std::uint64_t inCaller);
+    void requestEnded(std::uint64_t inCaller);
     void callerClosed(std::uint64_t inCaller);
     void configurationChanged(const catalog::configuration_changed &inChanged);
     void endpointChanged(const std::string &inEndpoint);
     void meshReceived(const fleet::mesh_received &inReceived);
     void engineStateReceived(const std::string &inHolder, const fleet::engine_state &inState);
     void contribute();
-    void buryLater(std::unique_ptr<forward_run> inRun,
-                   std::unique_ptr<http1::server_connection> inConnection);
+    void destroyLater(std::unique_ptr<forwarded_request> inRequest,
+                      std::unique_ptr<http1::server_connection> inConnection);
 
     front_options mOptions;
     forward_context mContext;
