--- a/corneltally/forwarding/forward_run_answer.cpp
+++ b/corneltally/forwarding/forwarded_request_answer.cpp
@@ -1,4 +1,4 @@
-#include "corneltally/forwarding/forward_run.h"
+#include "corneltally/forwarding/forwarded_request.h"
 
 #include "corneltally/core/digest.h"
 #include "corneltally/core/json_log.h"
--- a/corneltally/forwarding/front_service.cpp
+++ b/corneltally/forwarding/front_service.cpp
@@ -2,7 +2,7 @@
 
 #include "corneltally/core/json_log.h"
 #include "corneltally/core/metrics.h"
-#include "corneltally/forwarding/forward_run.h"
+#include "corneltally/forwarding/forwarded_request.h"
 #include "corneltally/http1/client_connection.h"
 #include "corneltally/kernel/event_loop.h"
 #include "corneltally/kernel/service_registry.h"
