--- a/corneltally/forwarding/forwarded_request.cpp
+++ b/corneltally/forwarding/forwarded_request.cpp
@@ -25,7 +25,7 @@
 /// Time for which nothing is sent to an endpoint that could not be reached.
 constexpr core::duration cUnreachablePause = milliseconds(500);
 /// Ranks of requests at an engine.
-constexpr int cLastUrgency = 9;
+constexpr int cMaxUrgency = 9;
 long long inMs(core::duration inDuration)
 {
     return std::chrono::duration_cast<milliseconds>(inDuration).count();
@@ -40,14 +40,14 @@
     , mRequest(std::move(inRequest))
     , mDone(std::move(inDone))
     , mTable(ioContext.table)
-    , mDeadline(ioContext.loop, [this] { timeOver(); })
-    , mWake(ioContext.loop, [this] { woken(); })
+    , mDeadline(ioContext.loop, [this] { deadlineExpired(); })
+    , mAdapterTimer(ioContext.loop, [this] { adapterTimerExpired(); })
 { }
 
 forwarded_request::~forwarded_request()
 {
-    endWaiting();
-    endLoad();
+    uncountWaiting();
+    uncountLoad();
 }
 
 void forwarded_request::start()
@@ -88,8 +88,8 @@
     }
     mService = mTable->chooseService(*mRoute, mTerms.requestId);
     const core::duration callerTime = mTerms.timeLeft.value_or(mRoute->timeout);
-    mCallerUntil = mRequest.arrived + callerTime;
-    mAnswerBy = mRequest.arrived + std::min<core::duration>(callerTime, mRoute->timeout)
+    mCallerDeadline = mRequest.arrived + callerTime;
+    mAnswerDeadline = mRequest.arrived + std::min<core::duration>(callerTime, mRoute->timeout)
         - mContext.settings.answerMargin;
     return true;
 }
@@ -140,20 +140,20 @@
 
 core::duration forwarded_request::timeLeft() const
 {
-    return mAnswerBy - core::boot_clock::now();
+    return mAnswerDeadline - core::boot_clock::now();
 }
 
 void forwarded_request::chooseAndSend()
 {
     const core::time_point now = core::boot_clock::now();
-    endWaiting();
+    uncountWaiting();
     mState = state::received;
     const auto named = mContext.namedVersions.find(engines::adapterKey(mWork.model, mWork.adapter));
     mWork.version = named == mContext.namedVersions.end() ? 0 : named->second;
     const auto choice = engines::chooseEndpoint(mContext.book, mWork, mContext.failureDomain,
                                                 mContext.settings.choice, now);
     if (!choice) {
-        if (mFailureKept)
+        if (mFailureAnswerStored)
             passFailure();
         else if (mRunState == run_state::not_run)
             refuseBusy("no endpoint can serve the request");
@@ -175,25 +175,25 @@
     mState = state::waiting;
     mWaitingSince = now;
     if (mChoice.state == engines::endpoint_choice::readiness::to_load)
-        orderAdapter();
-    checkAdapter();
+        requestAdapterLoad();
+    sendOrAwaitAdapter();
 }
 
 void forwarded_request::send()
 {
     const core::time_point now = core::boot_clock::now();
-    mWake.cancel();
-    endWaiting();
+    mAdapterTimer.cancel();
+    uncountWaiting();
     engines::endpoint &target = *mContext.book.find(mChoice.endpoint);
     mState = state::sent;
     mSentAt = now;
     ++mSends;
     mUsedEndpoints.insert(mChoice.endpoint);
-    mHeadSeen = false;
-    mWholeAnswer = false;
+    mHeadReceived = false;
+    mBuffersAnswer = false;
     mBody.clear();
     mSplitter.clear();
-    beginLoad();
+    countLoad();
     for (const std::string &name : engines::sharedPartNames(mWork))
         target.recentParts[name] = now;
     if (!mWork.adapter.empty())
@@ -201,11 +201,11 @@
             engines::digestOf(mChoice.endpoint, engines::adapterKey(mWork.model, mWork.adapter)));
     platform::sending_terms terms{
         .timeLeft = std::chrono::duration_cast<milliseconds>(
-            std::min(mCallerUntil, mAnswerBy + mContext.settings.answerMargin) - now),
+            std::min(mCallerDeadline, mAnswerDeadline + mContext.settings.answerMargin) - now),
         .endpointId = mChoice.endpoint,
         .account = mAccount,
         .urgency = mService->engine && mPriority
-            ? std::optional(std::clamp(*mPriority, 0, cLastUrgency))
+            ? std::optional(std::clamp(*mPriority, 0, cMaxUrgency))
             : std::nullopt,
         .lastEventId = mLastEventId};
     http1::request_head head = platform::encodeRequest(mRequest.head, terms);
@@ -226,7 +226,7 @@
                       .onEnd = [this](const http1::exchange_end &inEnd) { exchangeEnded(inEnd); }});
 }
 
-void forwarded_request::beginLoad()
+void forwarded_request::countLoad()
 {
     engines::endpoint &target = *mContext.book.find(mChoice.endpoint);
     mMemoryTokens = mWork.promptTokens + mWork.answerTokens;
@@ -235,23 +235,23 @@
     target.own.memoryTokens += mMemoryTokens;
     if (!mWork.adapter.empty()
         && ++target.ownRunning[engines::adapterKey(mWork.model, mWork.adapter)] == 1)
-        tellRunning(target, true);
+        sendAdapterRunning(target, true);
     target.health.started();
     mLoadCounted = true;
     mPromptCounted = true;
 }
 
 /// Notes the pauses of a stream.
-void forwarded_request::eventsSeen()
+void forwarded_request::eventsReceived()
 {
     const core::time_point now = core::boot_clock::now();
     if (mFirstByteAt)
         mLongestPause = std::max(mLongestPause, now - mLastByteAt);
     mLastByteAt = now;
-    firstEventSeen();
+    firstEventReceived();
 }
 
-void forwarded_request::firstEventSeen()
+void forwarded_request::firstEventReceived()
 {
     if (!mFirstByteAt)
         mFirstByteAt = core::boot_clock::now();
@@ -263,7 +263,7 @@
         target->own.promptTokens -= mWork.promptTokens;
 }
 
-void forwarded_request::endLoad()
+void forwarded_request::uncountLoad()
 {
     if (!mLoadCounted)
         return;
@@ -276,7 +276,7 @@
     const auto running = target->ownRunning.find(engines::adapterKey(mWork.model, mWork.adapter));
     if (running != target->ownRunning.end() && --running->second <= 0) {
         target->ownRunning.erase(running);
-        tellRunning(*target, false);
+        sendAdapterRunning(*target, false);
     }
     target->own.memoryTokens -= mMemoryTokens;
     if (mPromptCounted)
@@ -310,7 +310,7 @@
 {
     const core::time_point now = core::boot_clock::now();
     engines::endpoint *target = mContext.book.find(mChoice.endpoint);
-    const bool sameStart = target != nullptr && target->entry.startedMs == mEndpointStart;
+    const bool isSameStart = target != nullptr && target->entry.startedMs == mEndpointStart;
     const attempt_facts facts{.result = inResult,
                               .kind = mRoute->kind,
                               .endpointsUsed = static_cast<int>(mUsedEndpoints.size()),
@@ -322,14 +322,14 @@
     core::logEvent(core::log_level::info, "attempt_failed",
                    {{"request", mTerms.requestId},
                     {"endpoint", mChoice.endpoint},
-                    {"status", mHeadSeen ? mAnswer.status : 0},
+                    {"status", mHeadReceived ? mAnswer.status : 0},
                     {"reason", inReason},
                     {"run", toString(mRunState)},
                     {"ms", inMs(now - mSentAt)}});
     mContext.metrics.count("attempts_failed_total{reason=\"" + std::string(inReason) + "\"}");
-    mFailureKept = inResult == attempt_result::failure_answered;
+    mFailureAnswerStored = inResult == attempt_result::failure_answered;
     const bool loading = inResult == attempt_result::refused && !mWork.adapter.empty();
-    if (sameStart) {
+    if (isSameStart) {
         if (loading || inResult == attempt_result::refused)
             target->health.abandoned();
         else
@@ -339,14 +339,14 @@
             target->notBefore = now + cUnreachablePause;
         }
     }
-    endLoad();
+    uncountLoad();
     if (inResult == attempt_result::not_sent) {
         --mSends;
         mUsedEndpoints.erase(mChoice.endpoint);
     }
-    if (loading && sameStart && retryAfterLoad(inReason))
+    if (loading && isSameStart && retryWhenLoaded(inReason))
         return;
-    if (mAnswer.otherEndpoint && inResult == attempt_result::refused && sameStart
+    if (mAnswer.otherEndpoint && inResult == attempt_result::refused && isSameStart
         && mWork.adapter.empty())
         target->notBefore = now + cOtherEndpointPause;
     mWork.excluded.insert(mChoice.endpoint);
@@ -373,15 +373,15 @@
     case next_step::abort:
         break;
     }
-    breakOff(inReason);
+    abortAnswer(inReason);
 }
 
-void forwarded_request::timeOver()
+void forwarded_request::deadlineExpired()
 {
     if (mState == state::done)
         return;
     if (mAnswerStarted) {
-        breakOff("the time of the route is over");
+        abortAnswer("the time of the route is over");
         return;
     }
     if (mState == state::sent) {
@@ -389,7 +389,7 @@
         engines::endpoint *target = mContext.book.find(mChoice.endpoint);
         if (target != nullptr && target->entry.startedMs == mEndpointStart)
             target->health.failed(core::boot_clock::now());
-        dropAttempt();
+        cancelAttempt();
         if (sent && mRunState == run_state::not_run)
             mRunState = run_state::unknown;
     }
@@ -399,11 +399,11 @@
         answerUnknown("the time is over");
 }
 
-void forwarded_request::dropAttempt()
+void forwarded_request::cancelAttempt()
 {
     // Closing the connection makes the endpoint stop its work.
     mUpstream.reset();
-    endLoad();
+    uncountLoad();
 }
 
 void forwarded_request::callerLeft()
@@ -414,7 +414,7 @@
     if (mLoadCounted && target != nullptr && target->entry.startedMs == mEndpointStart)
         target->health.abandoned();
     const bool sent = mUpstream && mUpstream->sent();
-    dropAttempt();
+    cancelAttempt();
     if (sent && mRunState == run_state::not_run)
         mRunState = run_state::unknown;
     mState = state::done;
--- a/corneltally/forwarding/forwarded_request.h
+++ b/corneltally/forwarding/forwarded_request.h
@@ -54,8 +54,8 @@
     bool resolveRoute();
     bool admit();
     void chooseAndSend();
-    void checkAdapter();
-    void orderAdapter();
+    void sendOrAwaitAdapter();
+    void requestAdapterLoad();
     void send();
     void attemptEnded(attempt_result inResult, std::string_view inReason);
     void headArrived(const http1::response_head &inHead);
@@ -64,26 +64,26 @@
     void answerComplete();
     void forwardEvents(std::string_view inData);
     void beginAnswer(std::optional<std::uint64_t> inLength);
-    void timeOver();
-    void woken();
+    void deadlineExpired();
+    void adapterTimerExpired();
     void refuse(int inStatus, std::string_view inReason,
                 std::optional<core::duration> inRetryAfter = std::nullopt);
     void refuseBusy(std::string_view inReason);
     void answerUnknown(std::string_view inReason);
     void passFailure();
-    bool retryAfterLoad(std::string_view inReason);
-    bool adapterThere() const;
+    bool retryWhenLoaded(std::string_view inReason);
+    bool isAdapterResident() const;
     void finish(int inStatus, std::string_view inOutcome, std::string_view inReason);
-    void dropAttempt();
-    void breakOff(std::string_view inReason);
-    void noteWaiting(engines::endpoint &ioTarget);
-    void endWaiting();
-    void tellRunning(const engines::endpoint &inTarget, bool inRunning);
-    void beginLoad();
-    void endLoad();
-    void reportPause(const engines::endpoint &inTarget);
-    void eventsSeen();
-    void firstEventSeen();
+    void cancelAttempt();
+    void abortAnswer(std::string_view inReason);
+    void countWaiting(engines::endpoint &ioTarget);
+    void uncountWaiting();
+    void sendAdapterRunning(const engines::endpoint &inTarget, bool inRunning);
+    void countLoad();
+    void uncountLoad();
+    void recordPause(const engines::endpoint &inTarget);
+    void eventsReceived();
+    void firstEventReceived();
     core::duration timeLeft() const;
     core::duration retryAfter() const;
 
@@ -102,9 +102,9 @@
     engines::endpoint_choice mChoice;
     std::uint64_t mEndpointStart = 0;
     kernel::timer mDeadline;
-    kernel::timer mWake;
-    core::time_point mAnswerBy;
-    core::time_point mCallerUntil;
+    kernel::timer mAdapterTimer;
+    core::time_point mAnswerDeadline;
+    core::time_point mCallerDeadline;
     core::time_point mWaitingSince;
     core::time_point mSentAt;
     std::optional<core::time_point> mFirstByteAt;
@@ -120,19 +120,19 @@
     std::set<std::string> mUsedEndpoints;
     int mSends = 0;
     int mLoadRetries = 0;
-    int mLoadsAsked = 0;
+    int mLoadsRequested = 0;
     routing::answer_terms mAnswer;
-    bool mHeadSeen = false;
+    bool mHeadReceived = false;
     /// The last attempt ended with an endpoint's own failure, which can be passed on.
-    bool mFailureKept = false;
+    bool mFailureAnswerStored = false;
     bool mAnswerStarted = false;
-    bool mWholeAnswer = false;
+    bool mBuffersAnswer = false;
     double mCharged = 0;
     bool mWaitingCounted = false;
     bool mLoadCounted = false;
     bool mPromptCounted = false;
     double mMemoryTokens = 0;
-    bool mUpstreamPaused = false;
+    bool mUpstreamReadPaused = false;
 };
 
 } // namespace corneltally::forwarding
--- a/corneltally/forwarding/forwarded_request_adapter.cpp
+++ b/corneltally/forwarding/forwarded_request_adapter.cpp
@@ -16,7 +16,7 @@
 using milliseconds = std::chrono::milliseconds;
 
 /// Loads that one request may ask for before it is refused.
-constexpr int cMaxLoadsAsked = 2;
+constexpr int cMaxLoadsRequested = 2;
 /// An engine may refuse requests for an adapter for this long after its load should have ended.
 constexpr core::duration cLoadTolerance = milliseconds(600);
 
@@ -28,11 +28,11 @@
 } // namespace
 
 /// Asks the holder of the engine for the adapter.
-void forwarded_request::orderAdapter()
+void forwarded_request::requestAdapterLoad()
 {
-    ++mLoadsAsked;
+    ++mLoadsRequested;
     engines::endpoint &target = *mContext.book.find(mChoice.endpoint);
-    noteWaiting(target);
+    countWaiting(target);
     fleet::load_wanted wanted{.endpoint = mChoice.endpoint,
                               .startedMs = mEndpointStart,
                               .model = mWork.model,
@@ -46,7 +46,7 @@
 }
 
 /// Counts the request among those that wait for a load at the endpoint.
-void forwarded_request::noteWaiting(engines::endpoint &ioTarget)
+void forwarded_request::countWaiting(engines::endpoint &ioTarget)
 {
     if (mWaitingCounted)
         return;
@@ -54,7 +54,7 @@
     ++ioTarget.ownWaiting[engines::adapterKey(mWork.model, mWork.adapter)];
 }
 
-void forwarded_request::endWaiting()
+void forwarded_request::uncountWaiting()
 {
     if (!mWaitingCounted)
         return;
@@ -67,7 +67,7 @@
         target->ownWaiting.erase(found);
 }
 
-bool forwarded_request::adapterThere() const
+bool forwarded_request::isAdapterResident() const
 {
     const engines::endpoint *target = mContext.book.find(mChoice.endpoint);
     const auto found
@@ -76,7 +76,7 @@
 }
 
 /// Sends a waiting request if its adapter is there, or sets the time at which it should be.
-void forwarded_request::checkAdapter()
+void forwarded_request::sendOrAwaitAdapter()
 {
     const core::time_point now = core::boot_clock::now();
     const engines::endpoint *target = mContext.book.find(mChoice.endpoint);
@@ -85,32 +85,32 @@
         chooseAndSend();
         return;
     }
-    if (adapterThere()) {
+    if (isAdapterResident()) {
         send();
         return;
     }
     const auto arriving
         = target->adapters.arriving.find(engines::adapterKey(mWork.model, mWork.adapter));
-    mWake.cancel();
+    mAdapterTimer.cancel();
     if (arriving != target->adapters.arriving.end())
-        endWaiting();
+        uncountWaiting();
     if (arriving == target->adapters.arriving.end() || arriving->second.version < mWork.version) {
-        mWake.startOnce(
+        mAdapterTimer.startOnce(
             std::max(core::duration::zero(), mWaitingSince + mContext.settings.loadPatience - now));
     } else if (arriving->second.readyAt <= now) {
         send();
     } else {
-        mWake.startOnce(arriving->second.readyAt - now);
+        mAdapterTimer.startOnce(arriving->second.readyAt - now);
     }
 }
 
 void forwarded_request::endpointChanged(std::string_view inEndpoint)
 {
     if (isWaitingFor(inEndpoint))
-        checkAdapter();
+        sendOrAwaitAdapter();
 }
 
-void forwarded_request::woken()
+void forwarded_request::adapterTimerExpired()
 {
     if (mState != state::waiting)
         return;
@@ -118,16 +118,16 @@
     const engines::endpoint *target = mContext.book.find(mChoice.endpoint);
     const std::string key = engines::adapterKey(mWork.model, mWork.adapter);
     const bool expected = target != nullptr
-        && (target->adapters.arriving.contains(key) || adapterThere() || mLoadRetries > 0);
+        && (target->adapters.arriving.contains(key) || isAdapterResident() || mLoadRetries > 0);
     if (expected) {
         if (mLoadRetries > 0)
             send();
         else
-            checkAdapter();
+            sendOrAwaitAdapter();
         return;
     }
     if (now - mWaitingSince < mContext.settings.loadPatience) {
-        checkAdapter();
+        sendOrAwaitAdapter();
         return;
     }
     core::logEvent(core::log_level::info, "load_not_begun",
@@ -135,7 +135,7 @@
                     {"endpoint", mChoice.endpoint},
                     {"adapter", mWork.adapter},
                     {"waited_ms", inMs(now - mWaitingSince)}});
-    if (mLoadsAsked >= cMaxLoadsAsked) {
+    if (mLoadsRequested >= cMaxLoadsRequested) {
         refuseBusy("the adapter could not be loaded in time");
         return;
     }
@@ -144,7 +144,7 @@
 }
 
 /// Tells the holder of an engine whether requests of this instance run on the adapter.
-void forwarded_request::tellRunning(const engines::endpoint &inTarget, bool inRunning)
+void forwarded_request::sendAdapterRunning(const engines::endpoint &inTarget, bool inRunning)
 {
     fleet::adapter_running change{mChoice.endpoint, mEndpointStart,
                                   engines::adapterKey(mWork.model, mWork.adapter), inRunning};
@@ -156,7 +156,7 @@
 
 /// An engine that refuses for an adapter that is on its way, or that it lost, gets the request
 /// again once the adapter is there.
-bool forwarded_request::retryAfterLoad(std::string_view inReason)
+bool forwarded_request::retryWhenLoaded(std::string_view inReason)
 {
     const core::time_point now = core::boot_clock::now();
     engines::endpoint &target = *mContext.book.find(mChoice.endpoint);
@@ -181,8 +181,8 @@
             mContext.registry.post("mesh", fleet::mesh_send{target.holder, missing});
         if (!target.holderReady)
             return false;
-        orderAdapter();
-        mWake.startOnce(mContext.settings.loadPatience);
+        requestAdapterLoad();
+        mAdapterTimer.startOnce(mContext.settings.loadPatience);
         return true;
     }
     core::logEvent(core::log_level::info, "attempt_deferred",
@@ -190,8 +190,8 @@
                     {"endpoint", mChoice.endpoint},
                     {"reason", inReason},
                     {"retry", mLoadRetries}});
-    mWake.cancel();
-    mWake.startOnce(mContext.settings.loadRetryPause);
+    mAdapterTimer.cancel();
+    mAdapterTimer.startOnce(mContext.settings.loadRetryPause);
     return true;
 }
 
--- a/corneltally/forwarding/forwarded_request_answer.cpp
+++ b/corneltally/forwarding/forwarded_request_answer.cpp
@@ -63,12 +63,12 @@
 
 void forwarded_request::headArrived(const http1::response_head &inHead)
 {
-    mHeadSeen = true;
+    mHeadReceived = true;
     mAnswer = platform::decodeAnswer(inHead);
     const bool isEvents = http1::findField(inHead.fields, "Content-Type")
                               .value_or("")
                               .starts_with("text/event-stream");
-    mWholeAnswer
+    mBuffersAnswer
         = !routing::isStream(mRoute->kind) || !isEvents || mAnswer.status != 200 || !mAnswer.sealed;
     // A stream that goes on keeps the head of its first endpoint.
     if (!mAnswerStarted)
@@ -77,7 +77,7 @@
 
 void forwarded_request::bodyArrived(std::string_view inData)
 {
-    if (mWholeAnswer) {
+    if (mBuffersAnswer) {
         if (!mAnswerStarted)
             mBody.append(inData);
         return;
@@ -109,36 +109,36 @@
     }
     if (bytes.empty())
         return;
-    eventsSeen();
+    eventsReceived();
     if (!mAnswerStarted)
         beginAnswer(std::nullopt);
     mCaller.sendBody(bytes);
-    if (!mUpstreamPaused && mCaller.unsentBytes() > mContext.settings.backlogBytes) {
-        mUpstreamPaused = true;
+    if (!mUpstreamReadPaused && mCaller.unsentBytes() > mContext.settings.backlogBytes) {
+        mUpstreamReadPaused = true;
         mUpstream->setReading(false);
     }
 }
 
 void forwarded_request::callerDrained()
 {
-    if (!mUpstreamPaused || !mUpstream)
+    if (!mUpstreamReadPaused || !mUpstream)
         return;
-    mUpstreamPaused = false;
+    mUpstreamReadPaused = false;
     mUpstream->setReading(true);
 }
 
 void forwarded_request::answerComplete()
 {
     const core::time_point now = core::boot_clock::now();
-    firstEventSeen();
+    firstEventReceived();
     engines::endpoint *target = mContext.book.find(mChoice.endpoint);
     if (target != nullptr && target->entry.startedMs == mEndpointStart) {
         target->health.succeeded(*mFirstByteAt - mSentAt, now);
-        reportPause(*target);
+        recordPause(*target);
     }
-    endLoad();
+    uncountLoad();
     mRunState = run_state::ran;
-    if (mWholeAnswer) {
+    if (mBuffersAnswer) {
         beginAnswer(mBody.size());
         mCaller.sendBody(mBody);
     } else {
@@ -153,7 +153,7 @@
 
 /// Adds the longest pause of an answer to what the instances know of the endpoint. The pause of one
 /// that went on at another endpoint says nothing.
-void forwarded_request::reportPause(const engines::endpoint &inTarget)
+void forwarded_request::recordPause(const engines::endpoint &inTarget)
 {
     if (mSends > 1 || mLongestPause < engines::endpoint_book::sReadingPause)
         return;
@@ -166,10 +166,10 @@
 void forwarded_request::passFailure()
 {
     if (mAnswerStarted) {
-        breakOff("the endpoint failed");
+        abortAnswer("the endpoint failed");
         return;
     }
-    endLoad();
+    uncountLoad();
     mRunState = run_state::ran;
     const int status = mAnswer.status;
     // These statuses promise that the request has not run, which the endpoint did not state.
@@ -185,9 +185,9 @@
 }
 
 /// Ends an answer that was begun and can't be completed, so that the caller sees that it is cut.
-void forwarded_request::breakOff(std::string_view inReason)
+void forwarded_request::abortAnswer(std::string_view inReason)
 {
-    dropAttempt();
+    cancelAttempt();
     finish(mHead.status, "broken_off", inReason);
     mCaller.abort();
 }
@@ -196,7 +196,7 @@
                                std::optional<core::duration> inRetryAfter)
 {
     if (mAnswerStarted) {
-        breakOff(inReason);
+        abortAnswer(inReason);
         return;
     }
     if (mCharged > 0 && mRunState == run_state::not_run)
@@ -218,7 +218,7 @@
 void forwarded_request::answerUnknown(std::string_view inReason)
 {
     if (mAnswerStarted) {
-        breakOff(inReason);
+        abortAnswer(inReason);
         return;
     }
     // A timer may fire a little before its time.
@@ -233,9 +233,9 @@
 {
     const core::time_point now = core::boot_clock::now();
     mState = state::done;
-    endWaiting();
+    uncountWaiting();
     mDeadline.cancel();
-    mWake.cancel();
+    mAdapterTimer.cancel();
     mContext.metrics.count("requests_total{outcome=\"" + std::string(inOutcome) + "\"}");
     mContext.metrics.observe("request_seconds", now - mRequest.arrived);
     if (mFirstByteAt)
@@ -249,7 +249,7 @@
                     {"endpoint", mChoice.endpoint},
                     {"adapter", mWork.adapter},
                     {"sends", mSends},
-                    {"loads", mLoadsAsked},
+                    {"loads", mLoadsRequested},
                     {"status", inStatus},
                     {"outcome", inOutcome},
                     {"reason", inReason},
