--- a/corneltally/forwarding/event_splitter.cpp
+++ b/corneltally/forwarding/event_splitter.cpp
@@ -36,20 +36,20 @@
 
 } // namespace
 
-std::vector<event_splitter::event> event_splitter::feed(std::string_view inBytes)
+std::vector<event_splitter::event> event_splitter::append(std::string_view inBytes)
 {
-    mRest.append(inBytes);
+    mRemainder.append(inBytes);
     std::vector<event> events;
     std::size_t start = 0;
     while (true) {
-        const std::string_view text = std::string_view(mRest).substr(start);
+        const std::string_view text = std::string_view(mRemainder).substr(start);
         const std::size_t end = endOfEvent(text);
         if (end == std::string_view::npos)
             break;
         events.push_back({std::string(text.substr(0, end)), idOf(text.substr(0, end))});
         start += end;
     }
-    mRest.erase(0, start);
+    mRemainder.erase(0, start);
     return events;
 }
 
--- a/corneltally/forwarding/event_splitter.h
+++ b/corneltally/forwarding/event_splitter.h
@@ -21,15 +21,15 @@
     };
 
     /// Adds bytes and returns the events that are complete now.
-    std::vector<event> feed(std::string_view inBytes);
+    std::vector<event> append(std::string_view inBytes);
 
     /// Bytes of an event that is not complete.
-    const std::string &rest() const { return mRest; }
+    const std::string &remainder() const { return mRemainder; }
 
-    void clear() { mRest.clear(); }
+    void clear() { mRemainder.clear(); }
 
 private:
-    std::string mRest;
+    std::string mRemainder;
 };
 
 } // namespace corneltally::forwarding
--- a/corneltally/forwarding/forward_context.h
+++ b/corneltally/forwarding/forward_context.h
@@ -35,27 +35,27 @@
     core::duration answerMargin = std::chrono::milliseconds(25);
     /// Longest idle time of a connection that carries a request which runs at most once. The
     /// younger the last sign of life, the less likely has the connection gone silent.
-    core::duration freshConnection = std::chrono::milliseconds(600);
+    core::duration onceIdleLimit = std::chrono::milliseconds(600);
     /// Longest idle time of a connection for requests that may be repeated.
-    core::duration idleConnection = std::chrono::seconds(3);
+    core::duration repeatableIdleLimit = std::chrono::seconds(3);
     /// A holder has this long to begin a load that was asked for.
-    core::duration loadPatience = std::chrono::milliseconds(900);
+    core::duration loadStartTimeout = std::chrono::milliseconds(900);
     /// Pause before a request is sent again to an engine that still loads its adapter.
     core::duration loadRetryPause = std::chrono::milliseconds(50);
     int maxLoadRetries = 3;
     /// Bytes of an answer that may wait at a caller before the endpoint is not read any more.
-    std::size_t backlogBytes = 256 * 1024;
+    std::size_t maxUnsentBytes = 256 * 1024;
     /// Longest answer that is kept until it is whole.
-    std::size_t wholeAnswerBytes = 256 * 1024;
+    std::size_t maxBufferedAnswerBytes = 256 * 1024;
     /// Callers that are refused for lack of capacity are told to come back within this range.
-    core::duration retryAfterLeast = std::chrono::milliseconds(150);
+    core::duration minRetryAfter = std::chrono::milliseconds(150);
     core::duration retryAfterSpread = std::chrono::milliseconds(350);
     /// Caller connections without a sign of life end after this time.
-    core::duration callerDataTimeout = std::chrono::seconds(8);
+    core::duration callerIdleTimeout = std::chrono::seconds(8);
     /// A stopping instance takes no request that may need longer than it has left: streams of the
     /// deployment sheets last up to 6 s, plain requests up to half a second.
-    core::duration streamTime = std::chrono::milliseconds(5000);
-    core::duration plainTime = std::chrono::milliseconds(1500);
+    core::duration minStreamTime = std::chrono::milliseconds(5000);
+    core::duration minPlainTime = std::chrono::milliseconds(1500);
     engines::choice_settings choice;
 };
 
--- a/corneltally/forwarding/forwarded_request.cpp
+++ b/corneltally/forwarding/forwarded_request.cpp
@@ -21,7 +21,7 @@
 
 /// Time for which nothing is sent to an address at which another endpoint answered; the entry of
 /// the endpoint is renewed or removed meanwhile.
-constexpr core::duration cOtherEndpointPause = std::chrono::seconds(2);
+constexpr core::duration cMisdirectedPause = std::chrono::seconds(2);
 /// Time for which nothing is sent to an endpoint that could not be reached.
 constexpr core::duration cUnreachablePause = milliseconds(500);
 /// Ranks of requests at an engine.
@@ -101,8 +101,8 @@
         refuseBusy("the route has no service");
         return false;
     }
-    const core::duration needed = routing::isStream(mRoute->kind) ? mContext.settings.streamTime
-                                                                  : mContext.settings.plainTime;
+    const core::duration needed = routing::isStream(mRoute->kind) ? mContext.settings.minStreamTime
+                                                                  : mContext.settings.minPlainTime;
     if (mContext.stopAt && *mContext.stopAt - now < needed) {
         refuseBusy("the instance is stopping");
         return false;
@@ -116,7 +116,7 @@
         if (!mContext.allowance.tryCharge(mAccount, amount, now)) {
             const core::duration wait = mContext.allowance.timeUntil(mAccount, amount, now);
             refuse(429, "the account is beyond its rate",
-                   std::max<core::duration>(wait, mContext.settings.retryAfterLeast));
+                   std::max<core::duration>(wait, mContext.settings.minRetryAfter));
             return false;
         }
         mCharged = amount;
@@ -214,8 +214,8 @@
         head.fields.emplace_back("Content-Length", std::to_string(mRequest.body.size()));
     const bool repeatable = routing::mayRepeat(mRoute->kind);
     mUpstream = mContext.pool.take(target.entry.address,
-                                   repeatable ? mContext.settings.idleConnection
-                                              : mContext.settings.freshConnection);
+                                   repeatable ? mContext.settings.repeatableIdleLimit
+                                              : mContext.settings.onceIdleLimit);
     mUpstream->start(head, mRequest.body,
                      {.accepts =
                           [this](const http1::response_head &inHead) {
@@ -348,7 +348,7 @@
         return;
     if (mAnswer.otherEndpoint && inResult == attempt_result::refused && isSameStart
         && mWork.adapter.empty())
-        target->notBefore = now + cOtherEndpointPause;
+        target->notBefore = now + cMisdirectedPause;
     mWork.excluded.insert(mChoice.endpoint);
     next_step step = stepAfter(facts);
     if (step == next_step::try_other && inResult != attempt_result::not_sent
--- a/corneltally/forwarding/forwarded_request_adapter.cpp
+++ b/corneltally/forwarding/forwarded_request_adapter.cpp
@@ -95,8 +95,8 @@
     if (arriving != target->adapters.arriving.end())
         uncountWaiting();
     if (arriving == target->adapters.arriving.end() || arriving->second.version < mWork.version) {
-        mAdapterTimer.startOnce(
-            std::max(core::duration::zero(), mWaitingSince + mContext.settings.loadPatience - now));
+        mAdapterTimer.startOnce(std::max(core::duration::zero(),
+                                         mWaitingSince + mContext.settings.loadStartTimeout - now));
     } else if (arriving->second.readyAt <= now) {
         send();
     } else {
@@ -126,7 +126,7 @@
             sendOrAwaitAdapter();
         return;
     }
-    if (now - mWaitingSince < mContext.settings.loadPatience) {
+    if (now - mWaitingSince < mContext.settings.loadStartTimeout) {
         sendOrAwaitAdapter();
         return;
     }
@@ -182,7 +182,7 @@
         if (!target.holderReady)
             return false;
         requestAdapterLoad();
-        mAdapterTimer.startOnce(mContext.settings.loadPatience);
+        mAdapterTimer.startOnce(mContext.settings.loadStartTimeout);
         return true;
     }
     core::logEvent(core::log_level::info, "attempt_deferred",
--- a/corneltally/forwarding/forwarded_request_answer.cpp
+++ b/corneltally/forwarding/forwarded_request_answer.cpp
@@ -57,7 +57,7 @@
 {
     constexpr std::uint64_t cSteps = 1000;
     const auto step = static_cast<long long>(core::stableHash(mTerms.requestId) % cSteps);
-    return mContext.settings.retryAfterLeast
+    return mContext.settings.minRetryAfter
         + mContext.settings.retryAfterSpread * step / static_cast<long long>(cSteps);
 }
 
@@ -97,7 +97,7 @@
 void forwarded_request::forwardEvents(std::string_view inData)
 {
     std::string bytes;
-    for (event_splitter::event &event : mSplitter.feed(inData)) {
+    for (event_splitter::event &event : mSplitter.append(inData)) {
         const auto last = eventNumber(mLastEventId);
         const auto number = eventNumber(event.id);
         // A stream that goes on must not repeat what the caller has.
@@ -113,7 +113,7 @@
     if (!mAnswerStarted)
         beginAnswer(std::nullopt);
     mCaller.sendBody(bytes);
-    if (!mUpstreamReadPaused && mCaller.unsentBytes() > mContext.settings.backlogBytes) {
+    if (!mUpstreamReadPaused && mCaller.unsentBytes() > mContext.settings.maxUnsentBytes) {
         mUpstreamReadPaused = true;
         mUpstream->setReading(false);
     }
@@ -144,7 +144,7 @@
     } else {
         if (!mAnswerStarted)
             beginAnswer(std::nullopt);
-        mCaller.sendBody(mSplitter.rest());
+        mCaller.sendBody(mSplitter.remainder());
     }
     mState = state::done;
     finish(mHead.status, "served", "complete");
--- a/corneltally/forwarding/front_service.cpp
+++ b/corneltally/forwarding/front_service.cpp
@@ -38,11 +38,11 @@
                .namedVersions = {},
                .adapterUses = {},
                .stopAt = {}}
-    , mPrune(ioRegistry.loop(),
-             [this] {
-                 mContext.pool.prune();
-                 mContext.book.prune(core::boot_clock::now());
-             })
+    , mPruneTimer(ioRegistry.loop(),
+                  [this] {
+                      mContext.pool.prune();
+                      mContext.book.prune(core::boot_clock::now());
+                  })
     , mListener(ioRegistry.loop(), [this](int inSocket) { accept(inSocket); })
 {
     ioRegistry.handle<catalog::configuration_changed>(
@@ -86,8 +86,8 @@
                 live.insert(name);
             mContext.book.keepHolders(live);
         });
-    ioRegistry.handle<fleet::heartbeat_due>(cName,
-                                            [this](const fleet::heartbeat_due &) { contribute(); });
+    ioRegistry.handle<fleet::heartbeat_due>(
+        cName, [this](const fleet::heartbeat_due &) { sendHeartbeatPart(); });
 }
 
 front_service::~front_service()
@@ -98,7 +98,7 @@
 
 void front_service::start()
 {
-    mPrune.startRepeating(cPrunePeriod);
+    mPruneTimer.startRepeating(cPrunePeriod);
 }
 
 bool front_service::ready() const
@@ -117,7 +117,7 @@
     const http1::caller_limits limits
         = mContext.table ? mContext.table->source().limits : http1::caller_limits{};
     auto connection = std::make_unique<http1::server_connection>(
-        mContext.loop, inSocket, limits, mContext.settings.callerDataTimeout);
+        mContext.loop, inSocket, limits, mContext.settings.callerIdleTimeout);
     connection->setEvents({.onRequest =
                                [this, id](http1::server_request inRequest) {
                                    requestArrived(id, std::move(inRequest));
@@ -227,7 +227,7 @@
     }
 }
 
-void front_service::contribute()
+void front_service::sendHeartbeatPart()
 {
     fleet::heartbeat_part part{.accountUses = mContext.allowance.ownUses()};
     for (const auto &[id, target] : mContext.book.all()) {
--- a/corneltally/forwarding/front_service.h
+++ b/corneltally/forwarding/front_service.h
@@ -80,13 +80,13 @@
     void endpointChanged(const std::string &inEndpoint);
     void meshReceived(const fleet::mesh_received &inReceived);
     void engineStateReceived(const std::string &inHolder, const fleet::engine_state &inState);
-    void contribute();
+    void sendHeartbeatPart();
     void destroyLater(std::unique_ptr<forwarded_request> inRequest,
                       std::unique_ptr<http1::server_connection> inConnection);
 
     front_options mOptions;
     forward_context mContext;
-    kernel::timer mPrune;
+    kernel::timer mPruneTimer;
     http1::listener mListener;
     std::map<std::uint64_t, caller> mCallers;
     std::uint64_t mNextCaller = 1;
--- a/corneltally/forwarding/instance.cpp
+++ b/corneltally/forwarding/instance.cpp
@@ -29,14 +29,14 @@
 using milliseconds = std::chrono::milliseconds;
 
 /// A gap between two ticks of the loop after which leases, rates and loads may be out of date.
-constexpr core::duration cPauseLimit = milliseconds(700);
+constexpr core::duration cPauseThreshold = milliseconds(700);
 /// Time after SIGTERM in which callers still arrive: the balancer asks once a second and takes an
 /// instance out after two misses.
-constexpr core::duration cRotationTime = milliseconds(2600);
+constexpr core::duration cBalancerRemovalTime = milliseconds(2600);
 /// Callers are no longer accepted this long before the end by force.
-constexpr core::duration cLastRequestTime = milliseconds(1000);
+constexpr core::duration cListenStopMargin = milliseconds(1000);
 /// An instance without running requests ends; checked this often while it drains.
-constexpr core::duration cDrainCheck = milliseconds(50);
+constexpr core::duration cDrainCheckPeriod = milliseconds(50);
 /// The process ends this long before it would be ended by force.
 constexpr core::duration cStopMargin = milliseconds(400);
 
@@ -108,7 +108,7 @@
         for (const int signal : {SIGTERM, SIGINT})
             mLoop.onSignal(signal, [this] { beginDrain(); });
         mLoop.onSignal(SIGHUP, [this] { reload(); });
-        mLoop.watchPauses(cPauseLimit, [this](core::duration inGap) {
+        mLoop.watchPauses(cPauseThreshold, [this](core::duration inGap) {
             core::logEvent(core::log_level::warning, "paused",
                            {{"seconds", std::chrono::duration<double>(inGap).count()}});
             mMetrics.count("pauses_total");
@@ -197,13 +197,13 @@
         core::logEvent(core::log_level::info, "drain_began", {{"running", mFront.running()}});
         mFront.beginDrain(*mDrainBegan + milliseconds(mSettings.stopMs) - cStopMargin);
         mMesh.setDraining();
-        mDrainTimer.startRepeating(cDrainCheck);
+        mDrainTimer.startRepeating(cDrainCheckPeriod);
     }
 
     void drainStep()
     {
         const core::duration elapsed = core::boot_clock::now() - *mDrainBegan;
-        if (elapsed < cRotationTime)
+        if (elapsed < cBalancerRemovalTime)
             return;
         if (!mIdleClosed) {
             mIdleClosed = true;
@@ -211,10 +211,10 @@
             mIdleClosedAt = core::boot_clock::now();
         }
         // While other instances drain as well, callers may have nowhere else to go.
-        if (elapsed >= milliseconds(mSettings.stopMs) - cLastRequestTime)
+        if (elapsed >= milliseconds(mSettings.stopMs) - cListenStopMargin)
             mFront.stopListening();
         // Connections that are closing still take a moment to hand over their last bytes.
-        const bool settled = core::boot_clock::now() - mIdleClosedAt > cDrainCheck * 4;
+        const bool settled = core::boot_clock::now() - mIdleClosedAt > cDrainCheckPeriod * 4;
         if ((mFront.running() == 0 && settled)
             || elapsed >= milliseconds(mSettings.stopMs) - cStopMargin)
             mLoop.stop();
--- a/tests/unit/forwarding_rules_test.cpp
+++ b/tests/unit/forwarding_rules_test.cpp
@@ -92,11 +92,11 @@
 TEST_CASE("a stream is cut into whole events")
 {
     forwarding::event_splitter splitter;
-    CHECK(splitter.feed("id: 1\ndata: a\n").empty());
-    const auto events = splitter.feed("\nversions: 2\r\nid:2\r\ndata: b\r\n\r\nid: 3\nda");
+    CHECK(splitter.append("id: 1\ndata: a\n").empty());
+    const auto events = splitter.append("\nversions: 2\r\nid:2\r\ndata: b\r\n\r\nid: 3\nda");
     REQUIRE(events.size() == 2);
     CHECK(events[0].id == "1");
     CHECK(events[0].bytes == "id: 1\ndata: a\n\n");
     CHECK(events[1].id == "2");
-    CHECK(splitter.rest() == "id: 3\nda");
+    CHECK(splitter.remainder() == "id: 3\nda");
 }
