--- a/corneltally/forwarding/forward_context.h
+++ b/corneltally/forwarding/forward_context.h
@@ -51,7 +51,7 @@
     core::duration minRetryAfter = std::chrono::milliseconds(150);
     core::duration retryAfterSpread = std::chrono::milliseconds(350);
     /// Caller connections without a sign of life end after this time.
-    core::duration callerIdleTimeout = std::chrono::seconds(8);
+    core::duration callerTcpTimeout = std::chrono::seconds(8);
     /// A stopping instance takes no request that may need longer than it has left: streams of the
     /// deployment sheets last up to 6 s, plain requests up to half a second.
     core::duration minStreamTime = std::chrono::milliseconds(5000);
--- a/corneltally/forwarding/front_service.cpp
+++ b/corneltally/forwarding/front_service.cpp
@@ -117,7 +117,7 @@
     const http1::caller_limits limits
         = mContext.table ? mContext.table->source().limits : http1::caller_limits{};
     auto connection = std::make_unique<http1::server_connection>(
-        mContext.loop, inSocket, limits, mContext.settings.callerIdleTimeout);
+        mContext.loop, inSocket, limits, mContext.settings.callerTcpTimeout);
     connection->setEvents({.onRequest =
                                [this, id](http1::server_request inRequest) {
                                    requestArrived(id, std::move(inRequest));
--- a/corneltally/forwarding/operator_service.cpp
+++ b/corneltally/forwarding/operator_service.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr core::duration cCallerIdleTimeout = std::chrono::seconds(5);
+constexpr core::duration cCallerTcpTimeout = std::chrono::seconds(5);
 
 } // namespace
 
@@ -30,7 +30,7 @@
 {
     const std::uint64_t id = mNextCaller++;
     auto connection = std::make_unique<http1::server_connection>(
-        mRegistry.loop(), inSocket, http1::caller_limits{}, cCallerIdleTimeout);
+        mRegistry.loop(), inSocket, http1::caller_limits{}, cCallerTcpTimeout);
     connection->setEvents(
         {.onRequest = [this, id](const http1::server_request &inRequest) { answer(id, inRequest); },
          .onDrained = {},
