--- a/corneltally/forwarding/attempt_rules.cpp
+++ b/corneltally/forwarding/attempt_rules.cpp
@@ -34,7 +34,7 @@
     const bool repeatable = routing::mayRepeat(inFacts.kind);
     const run_state state = runStateAfter(inFacts);
     const bool maySendAgain = state == run_state::not_run || repeatable;
-    // An attempt that reached nobody does not count against the endpoints of a request.
+    // An attempt that sent nothing does not count towards maxEndpoints.
     const bool endpointsLeft = inFacts.result == attempt_result::not_sent
         || inFacts.endpointsUsed < inFacts.maxEndpoints;
     if (inFacts.answerStarted && inFacts.kind != routing::repetition::resumable_stream)
@@ -45,7 +45,8 @@
         return next_step::abort;
     if (inFacts.result == attempt_result::failure_answered)
         return next_step::pass_failure;
-    // A repeatable request may come again whatever became of it.
+    // A refusal states that the request has not run. The caller may retry a repeatable request
+    // after either answer.
     return state == run_state::not_run ? next_step::refuse : next_step::answer_unknown;
 }
 
--- a/corneltally/forwarding/attempt_rules.h
+++ b/corneltally/forwarding/attempt_rules.h
@@ -7,67 +7,67 @@
 
 namespace corneltally::forwarding {
 
-/// What is proven of the runs of a request so far.
+/// Whether a request has run, as far as its attempts so far prove it.
 enum class run_state {
-    /// It did not run and never will.
+    /// No endpoint has run the request or will run it.
     not_run,
-    /// An endpoint ran it.
+    /// An endpoint ran the request.
     ran,
-    /// It may have run, or may run yet.
+    /// An endpoint may have run the request or may still run it.
     unknown,
 };
 
 std::string_view toString(run_state inState);
 
-/// How an attempt at one endpoint ended.
+/// Result of an attempt at one endpoint.
 enum class attempt_result {
     /// No byte reached the endpoint.
     not_sent,
-    /// The endpoint states that it did not run the request.
+    /// The endpoint stated that it did not run the request.
     refused,
-    /// A failure that the endpoint answered after it had run the request.
+    /// The endpoint ran the request and answered with a failure.
     failure_answered,
-    /// The connection broke, or no answer can be told from what came.
+    /// The connection broke, or the received bytes are not a valid answer.
     broken,
 };
 
-/// What is known when an attempt has ended without a success.
+/// Inputs to the decision that follows an unsuccessful attempt.
 struct attempt_facts
 {
     attempt_result result = attempt_result::broken;
     routing::repetition kind = routing::repetition::once;
-    /// Endpoints to which the request was sent, this one included.
+    /// Number of endpoints that the request was sent to, including this one.
     int endpointsUsed = 1;
     int maxEndpoints = 1;
-    /// Whether the caller has already got a part of an answer.
+    /// Whether a part of an answer was already sent to the caller.
     bool answerStarted = false;
-    /// Statement on the attempts before this one.
+    /// Run state after the previous attempts.
     run_state stateBefore = run_state::not_run;
     core::duration timeLeft{};
 };
 
-/// What to do next.
+/// Action after an unsuccessful attempt.
 enum class next_step {
-    /// Send the request to another endpoint, if one is there and the retry budget allows it.
+    /// Send the request to another endpoint if one is available and the retry budget allows it.
     try_other,
-    /// Refuse it: the caller may come again.
+    /// Refuse the request; the caller may retry it.
     refuse,
-    /// Pass the endpoint's failure on.
+    /// Forward the endpoint's failure to the caller.
     pass_failure,
     /// Answer that the outcome is unknown.
     answer_unknown,
-    /// Break the answer off that was begun.
+    /// Abort the answer that was already started.
     abort,
 };
 
-/// Least time for which another attempt is worth while.
+/// An attempt is started only if at least this much time is left.
 inline constexpr core::duration cMinAttemptTime = std::chrono::milliseconds(30);
 
-/// Statement after an attempt.
+/// Returns the run state after an attempt.
 run_state runStateAfter(const attempt_facts &inFacts);
 
-/// Next step after an attempt. If try_other is not possible, ask again with endpointsUsed at the
-/// maximum.
+/// Returns the action after an attempt. If try_other is not possible, call it again with
+/// endpointsUsed set to maxEndpoints.
 next_step stepAfter(const attempt_facts &inFacts);
 
 } // namespace corneltally::forwarding
--- a/corneltally/forwarding/event_splitter.cpp
+++ b/corneltally/forwarding/event_splitter.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// End of the first event in the text, behind its blank line; npos if none is complete.
+/// Offset after the blank line that ends the first event; npos if no event is complete.
 std::size_t endOfEvent(std::string_view inText)
 {
     const std::size_t plain = inText.find("\n\n");
--- a/corneltally/forwarding/event_splitter.h
+++ b/corneltally/forwarding/event_splitter.h
@@ -7,23 +7,23 @@
 
 namespace corneltally::forwarding {
 
-/// Cuts a stream of server-sent events into whole events.
+/// Splits a stream of server-sent events into complete events.
 class event_splitter
 {
 public:
     struct event
     {
-        /// All bytes, with the blank line that ends it.
+        /// All bytes of the event, including the terminating blank line.
         std::string bytes;
         std::string id;
 
         friend bool operator==(const event &, const event &) = default;
     };
 
-    /// Adds bytes and returns the events that are complete now.
+    /// Appends bytes and returns the events that they complete.
     std::vector<event> append(std::string_view inBytes);
 
-    /// Bytes of an event that is not complete.
+    /// Bytes of the incomplete event at the end of the stream.
     const std::string &remainder() const { return mRemainder; }
 
     void clear() { mRemainder.clear(); }
--- a/corneltally/forwarding/forward_context.h
+++ b/corneltally/forwarding/forward_context.h
@@ -28,38 +28,39 @@
 
 namespace corneltally::forwarding {
 
-/// Constants of forwarding.
+/// Limits and timeouts of forwarding.
 struct forward_settings
 {
-    /// An answer of this instance's own is sent this long before the caller's time is over.
+    /// The instance sends its own answer this long before the caller's deadline.
     core::duration answerMargin = std::chrono::milliseconds(25);
-    /// Longest idle time of a connection that carries a request which runs at most once. The
-    /// younger the last sign of life, the less likely has the connection gone silent.
+    /// Maximum idle time of a pooled connection that is reused for a request that runs at most
+    /// once. The more recently data was received, the less likely is the connection dead.
     core::duration onceIdleLimit = std::chrono::milliseconds(600);
-    /// Longest idle time of a connection for requests that may be repeated.
+    /// Maximum idle time of a pooled connection that is reused for a repeatable request.
     core::duration repeatableIdleLimit = std::chrono::seconds(3);
-    /// A holder has this long to begin a load that was asked for.
+    /// Time for the holder of an engine to start a requested load.
     core::duration loadStartTimeout = std::chrono::milliseconds(900);
-    /// Pause before a request is sent again to an engine that still loads its adapter.
+    /// Delay before a request is sent again to an engine that is still loading its adapter.
     core::duration loadRetryPause = std::chrono::milliseconds(50);
     int maxLoadRetries = 3;
-    /// Bytes of an answer that may wait at a caller before the endpoint is not read any more.
+    /// Reading from the endpoint stops while more answer bytes than this are unsent to the caller.
     std::size_t maxUnsentBytes = 256 * 1024;
-    /// Longest answer that is kept until it is whole.
+    /// Maximum size of an answer that is buffered until it is complete.
     std::size_t maxBufferedAnswerBytes = 256 * 1024;
-    /// Callers that are refused for lack of capacity are told to come back within this range.
+    /// Callers that are refused for lack of capacity are told to retry after a time between the
+    /// minimum and the minimum plus the spread.
     core::duration minRetryAfter = std::chrono::milliseconds(150);
     core::duration retryAfterSpread = std::chrono::milliseconds(350);
-    /// Caller connections without a sign of life end after this time.
+    /// A caller connection is closed if its peer's TCP is silent for this long.
     core::duration callerTcpTimeout = std::chrono::seconds(8);
-    /// A stopping instance takes no request that may need longer than it has left: streams of the
-    /// deployment sheets last up to 6 s, plain requests up to half a second.
+    /// A stopping instance refuses requests that may need more time than it has left. Streams of
+    /// the deployment sheets take up to 6 s, plain requests up to 0.5 s.
     core::duration minStreamTime = std::chrono::milliseconds(5000);
     core::duration minPlainTime = std::chrono::milliseconds(1500);
     engines::choice_settings choice;
 };
 
-/// State that the requests of one instance share.
+/// State shared by all requests of an instance.
 struct forward_context
 {
     kernel::event_loop &loop;
@@ -73,13 +74,13 @@
     http1::connection_pool pool;
     limits::fleet_allowance allowance;
     limits::fleet_retry_budget retries;
-    /// Newest versions that the operator named, by "model/adapter".
+    /// Newest adapter versions named by the operator, by "model/adapter".
     std::map<std::string, std::uint64_t, std::less<>> namedVersions;
-    /// Adapters that requests were sent for since the last heartbeat.
+    /// Adapters used by the requests sent since the last heartbeat.
     std::vector<engines::adapter_digest> adapterUses;
-    /// Longest pauses of answers since the last heartbeat.
+    /// Longest pause of each answer that ended since the last heartbeat.
     std::vector<fleet::answer_pause> pauses;
-    /// When this instance ends, if it is stopping.
+    /// When this instance exits; set while it is stopping.
     std::optional<core::time_point> stopAt;
 };
 
--- a/corneltally/forwarding/forwarded_request.cpp
+++ b/corneltally/forwarding/forwarded_request.cpp
@@ -19,12 +19,12 @@
 
 using milliseconds = std::chrono::milliseconds;
 
-/// Time for which nothing is sent to an address at which another endpoint answered; the entry of
-/// the endpoint is renewed or removed meanwhile.
+/// Nothing is sent to an endpoint for this long after another endpoint answered at its address.
+/// Meanwhile its entry is renewed or removed.
 constexpr core::duration cMisdirectedPause = std::chrono::seconds(2);
-/// Time for which nothing is sent to an endpoint that could not be reached.
+/// Nothing is sent to an unreachable endpoint for this long.
 constexpr core::duration cUnreachablePause = milliseconds(500);
-/// Ranks of requests at an engine.
+/// Engines rank requests from 0, the most urgent, to this value.
 constexpr int cMaxUrgency = 9;
 long long inMs(core::duration inDuration)
 {
@@ -241,7 +241,7 @@
     mPromptCounted = true;
 }
 
-/// Notes the pauses of a stream.
+/// Updates the longest pause between the events of the stream.
 void forwarded_request::eventsReceived()
 {
     const core::time_point now = core::boot_clock::now();
@@ -269,7 +269,7 @@
         return;
     mLoadCounted = false;
     engines::endpoint *target = mContext.book.find(mChoice.endpoint);
-    // The counts of a former start of the endpoint are gone.
+    // The counters were reset if the endpoint has restarted since.
     if (target == nullptr || target->entry.startedMs != mEndpointStart)
         return;
     --target->own.requests;
@@ -401,7 +401,7 @@
 
 void forwarded_request::cancelAttempt()
 {
-    // Closing the connection makes the endpoint stop its work.
+    // The endpoint cancels its work when the connection is closed.
     mUpstream.reset();
     uncountLoad();
 }
--- a/corneltally/forwarding/forwarded_request.h
+++ b/corneltally/forwarding/forwarded_request.h
@@ -21,11 +21,12 @@
 
 struct forward_context;
 
-/// One request from its arrival to its answer.
+/// Handles one request from its arrival to the end of its answer.
 class forwarded_request
 {
 public:
-    /// inDone is called once the request needs nothing more; the run may be destroyed later.
+    /// inDone is called when the request is finished. It may be called from within a member
+    /// function, so the object must be destroyed later.
     forwarded_request(forward_context &ioContext, http1::server_connection &ioCaller,
                       http1::server_request inRequest, std::function<void()> inDone);
     ~forwarded_request();
@@ -34,13 +35,14 @@
 
     void start();
 
-    /// The caller left: the endpoint's work is cancelled.
+    /// Called when the caller has closed its connection; cancels the work at the endpoint.
     void callerLeft();
 
-    /// The caller took bytes of the answer.
+    /// Called when the unsent bytes of the answer were sent to the caller.
     void callerDrained();
 
-    /// Knowledge of an endpoint changed, for a request that waits for an adapter there.
+    /// Called when the known state of an endpoint changed. Only a request that waits for an adapter
+    /// there reacts.
     void endpointChanged(std::string_view inEndpoint);
 
     bool isWaitingFor(std::string_view inEndpoint) const
@@ -91,7 +93,7 @@
     http1::server_connection &mCaller;
     http1::server_request mRequest;
     std::function<void()> mDone;
-    /// Keeps the route and the service that the request was given.
+    /// Keeps mRoute and mService valid after a configuration change.
     std::shared_ptr<const routing::routing_table> mTable;
     routing::request_terms mTerms;
     const routing::route *mRoute = nullptr;
@@ -123,7 +125,7 @@
     int mLoadsRequested = 0;
     routing::answer_terms mAnswer;
     bool mHeadReceived = false;
-    /// The last attempt ended with an endpoint's own failure, which can be passed on.
+    /// The last attempt ended with a failure answered by the endpoint, which can be forwarded.
     bool mFailureAnswerStored = false;
     bool mAnswerStarted = false;
     bool mBuffersAnswer = false;
--- a/corneltally/forwarding/forwarded_request_adapter.cpp
+++ b/corneltally/forwarding/forwarded_request_adapter.cpp
@@ -15,9 +15,10 @@
 
 using milliseconds = std::chrono::milliseconds;
 
-/// Loads that one request may ask for before it is refused.
+/// Maximum number of loads that one request may trigger before it is refused.
 constexpr int cMaxLoadsRequested = 2;
-/// An engine may refuse requests for an adapter for this long after its load should have ended.
+/// A load may end this much later than estimated; until then the engine refuses requests for the
+/// adapter.
 constexpr core::duration cLoadTolerance = milliseconds(600);
 
 long long inMs(core::duration inDuration)
@@ -27,7 +28,7 @@
 
 } // namespace
 
-/// Asks the holder of the engine for the adapter.
+/// Asks the holder of the engine to load the adapter.
 void forwarded_request::requestAdapterLoad()
 {
     ++mLoadsRequested;
@@ -45,7 +46,7 @@
         mContext.registry.post("mesh", fleet::mesh_send{target.holder, std::move(wanted)});
 }
 
-/// Counts the request among those that wait for a load at the endpoint.
+/// Counts the request as waiting for a load at the endpoint.
 void forwarded_request::countWaiting(engines::endpoint &ioTarget)
 {
     if (mWaitingCounted)
@@ -75,7 +76,8 @@
     return found != target->adapters.resident.end() && found->second >= mWork.version;
 }
 
-/// Sends a waiting request if its adapter is there, or sets the time at which it should be.
+/// Sends a waiting request if its adapter is loaded; otherwise starts a timer for the time at which
+/// the load should have started or ended.
 void forwarded_request::sendOrAwaitAdapter()
 {
     const core::time_point now = core::boot_clock::now();
@@ -143,7 +145,7 @@
     chooseAndSend();
 }
 
-/// Tells the holder of an engine whether requests of this instance run on the adapter.
+/// Tells the holder of the engine whether requests of this instance use the adapter.
 void forwarded_request::sendAdapterRunning(const engines::endpoint &inTarget, bool inRunning)
 {
     fleet::adapter_running change{mChoice.endpoint, mEndpointStart,
@@ -154,8 +156,8 @@
         mContext.registry.post("mesh", fleet::mesh_send{inTarget.holder, std::move(change)});
 }
 
-/// An engine that refuses for an adapter that is on its way, or that it lost, gets the request
-/// again once the adapter is there.
+/// Schedules another attempt at the same engine if it refused the request because the adapter is
+/// still loading or was lost. Returns false if the request must go elsewhere.
 bool forwarded_request::retryWhenLoaded(std::string_view inReason)
 {
     const core::time_point now = core::boot_clock::now();
--- a/corneltally/forwarding/forwarded_request_answer.cpp
+++ b/corneltally/forwarding/forwarded_request_answer.cpp
@@ -70,7 +70,7 @@
                               .starts_with("text/event-stream");
     mBuffersAnswer
         = !routing::isStream(mRoute->kind) || !isEvents || mAnswer.status != 200 || !mAnswer.sealed;
-    // A stream that goes on keeps the head of its first endpoint.
+    // A stream that is resumed at another endpoint keeps the head sent by the first one.
     if (!mAnswerStarted)
         mHead = inHead;
 }
@@ -100,7 +100,7 @@
     for (event_splitter::event &event : mSplitter.append(inData)) {
         const auto last = eventNumber(mLastEventId);
         const auto number = eventNumber(event.id);
-        // A stream that goes on must not repeat what the caller has.
+        // A resumed stream must not repeat events that the caller already has.
         if (mSends > 1 && last && number && *number <= *last)
             continue;
         if (!event.id.empty())
@@ -151,8 +151,8 @@
     mCaller.endResponse();
 }
 
-/// Adds the longest pause of an answer to what the instances know of the endpoint. The pause of one
-/// that went on at another endpoint says nothing.
+/// Records the longest pause of the answer for its endpoint, here and for the next heartbeat. If
+/// the request was sent more than once, the pause is not attributable to one endpoint.
 void forwarded_request::recordPause(const engines::endpoint &inTarget)
 {
     if (mSends > 1 || mLongestPause < engines::endpoint_book::sReadingPause)
@@ -162,7 +162,7 @@
         {inTarget.digest, std::chrono::duration_cast<milliseconds>(mLongestPause)});
 }
 
-/// Passes the answer of an endpoint on that has failed.
+/// Forwards the failure that an endpoint answered.
 void forwarded_request::passFailure()
 {
     if (mAnswerStarted) {
@@ -172,7 +172,8 @@
     uncountLoad();
     mRunState = run_state::ran;
     const int status = mAnswer.status;
-    // These statuses promise that the request has not run, which the endpoint did not state.
+    // To callers these statuses mean that the request has not run, which the endpoint did not
+    // state.
     if (status == 408 || status == 429 || status == 503) {
         answerUnknown("the endpoint gave no clear answer");
         return;
@@ -184,7 +185,7 @@
     mCaller.endResponse();
 }
 
-/// Ends an answer that was begun and can't be completed, so that the caller sees that it is cut.
+/// Aborts an answer that can't be completed, so that the caller notices that it is truncated.
 void forwarded_request::abortAnswer(std::string_view inReason)
 {
     cancelAttempt();
@@ -221,7 +222,7 @@
         abortAnswer(inReason);
         return;
     }
-    // A timer may fire a little before its time.
+    // The deadline timer may fire slightly early, so a short remaining time counts as none.
     const int status = timeLeft() < cMinAttemptTime ? 504 : 502;
     mState = state::done;
     finish(status, "unknown", inReason);
--- a/corneltally/forwarding/front_service.cpp
+++ b/corneltally/forwarding/front_service.cpp
@@ -150,7 +150,7 @@
 {
     --mRunning;
     const auto found = mCallers.find(inCaller);
-    // The run may be inside one of its own calls.
+    // The request may be executing one of its member functions.
     if (found != mCallers.end())
         destroyLater(std::move(found->second.request), nullptr);
 }
@@ -192,7 +192,7 @@
 
 void front_service::endpointChanged(const std::string &inEndpoint)
 {
-    // A request that is served now may change the list.
+    // endpointChanged() may modify mCallers, so the requests are collected first.
     std::vector<forwarded_request *> waiting;
     for (auto &[id, entry] : mCallers) {
         if (entry.request && entry.request->isWaitingFor(inEndpoint))
--- a/corneltally/forwarding/front_service.h
+++ b/corneltally/forwarding/front_service.h
@@ -28,7 +28,7 @@
     limits::fleet_retry_budget::limits retries;
 };
 
-/// Callers' connections and their requests.
+/// Accepts the connections of callers and handles their requests.
 class front_service final : public kernel::service
 {
 public:
@@ -45,12 +45,12 @@
     bool listen() { return mListener.listen(mOptions.listen); }
     unsigned short port() const { return mListener.port(); }
 
-    /// Whether requests can be served: configuration and endpoints are known and no drain is under
-    /// way.
+    /// Whether requests can be served: the configuration and the endpoints are known, and the
+    /// instance is not draining.
     bool ready() const;
 
-    /// Answers say that their connection closes; requests are still served if they can end before
-    /// the instance does.
+    /// Starts draining: answers announce that their connection closes, and requests are served only
+    /// if they can finish before the instance exits at inEnd.
     void beginDrain(core::time_point inEnd);
     /// Closes idle connections.
     void closeIdle();
@@ -62,7 +62,7 @@
         mContext.retries.setLimits(inLimits);
     }
 
-    /// The process did not run for a while.
+    /// Called when the process was suspended for some time. Discards state that may be outdated.
     void paused();
 
 private:
--- a/corneltally/forwarding/instance.cpp
+++ b/corneltally/forwarding/instance.cpp
@@ -28,16 +28,17 @@
 
 using milliseconds = std::chrono::milliseconds;
 
-/// A gap between two ticks of the loop after which leases, rates and loads may be out of date.
+/// After a gap of this length between two iterations of the event loop, leases, rates and loads may
+/// be outdated.
 constexpr core::duration cPauseThreshold = milliseconds(700);
-/// Time after SIGTERM in which callers still arrive: the balancer asks once a second and takes an
-/// instance out after two misses.
+/// Callers still arrive for this long after SIGTERM: the load balancer checks readiness once a
+/// second and removes an instance after two failed checks.
 constexpr core::duration cBalancerRemovalTime = milliseconds(2600);
-/// Callers are no longer accepted this long before the end by force.
+/// The listener closes this long before the process would be killed.
 constexpr core::duration cListenStopMargin = milliseconds(1000);
-/// An instance without running requests ends; checked this often while it drains.
+/// Interval at which a draining instance checks whether all requests have ended.
 constexpr core::duration cDrainCheckPeriod = milliseconds(50);
-/// The process ends this long before it would be ended by force.
+/// The process exits this long before it would be killed.
 constexpr core::duration cStopMargin = milliseconds(400);
 
 std::uint64_t newIncarnation()
@@ -67,7 +68,7 @@
             .slack = inSettings.retrySlack};
 }
 
-/// The services of one forwarding instance.
+/// Owns the services of a forwarding instance.
 class instance
 {
 public:
@@ -129,7 +130,7 @@
 private:
     static http1::address addressOf(const std::string &inText)
     {
-        // The settings were checked when they were read.
+        // The settings were validated when they were read.
         return http1::address::sParse(inText).value_or(http1::address{});
     }
 
@@ -210,10 +211,11 @@
             mFront.closeIdle();
             mIdleClosedAt = core::boot_clock::now();
         }
-        // While other instances drain as well, callers may have nowhere else to go.
+        // The listener stays open until late, since callers may have no other instance to connect
+        // to while several instances drain.
         if (elapsed >= milliseconds(mSettings.stopMs) - cListenStopMargin)
             mFront.stopListening();
-        // Connections that are closing still take a moment to hand over their last bytes.
+        // Closing connections need some time to send their last bytes.
         const bool settled = core::boot_clock::now() - mIdleClosedAt > cDrainCheckPeriod * 4;
         if ((mFront.running() == 0 && settled)
             || elapsed >= milliseconds(mSettings.stopMs) - cStopMargin)
--- a/corneltally/forwarding/instance.h
+++ b/corneltally/forwarding/instance.h
@@ -9,8 +9,9 @@
 
 namespace corneltally::forwarding {
 
-/// Runs a forwarding instance until SIGTERM has drained it. inReload reads the settings file again;
-/// it reports problems itself and gives nothing if there are any. Returns the exit code.
+/// Runs a forwarding instance until it has drained after SIGTERM or SIGINT, and returns the exit
+/// code. inReload reads the settings file again; it reports errors itself and returns nothing if
+/// there are any.
 int runInstance(const settings::forwarding_settings &inSettings,
                 const std::function<std::optional<settings::forwarding_settings>()> &inReload);
 
--- a/corneltally/forwarding/operator_service.h
+++ b/corneltally/forwarding/operator_service.h
@@ -21,7 +21,7 @@
 
 namespace corneltally::forwarding {
 
-/// Answers the operators' and the platform's questions: readiness, metrics, state.
+/// Serves readiness, health, metrics and a state dump to operators and the platform.
 class operator_service final : public kernel::service
 {
 public:
--- a/tests/unit/forwarding_front_test.cpp
+++ b/tests/unit/forwarding_front_test.cpp
@@ -1,5 +1,5 @@
-// Guards the way of a request with real connections: what callers and endpoints see when an
-// endpoint refuses, fails, breaks off, is silent or answers late, and when a caller leaves.
+// Tests forwarding over real connections: what callers and endpoints observe when an endpoint
+// refuses, fails, closes the connection, is silent or answers late, and when a caller disconnects.
 
 #include "corneltally/catalog/catalog_messages.h"
 #include "corneltally/core/digest.h"
@@ -43,7 +43,7 @@
     return size.data() + inData + "\r\n";
 }
 
-/// What an endpoint does with the next request.
+/// How an endpoint answers its next request.
 struct scripted_answer
 {
     std::string bytes;
@@ -168,7 +168,7 @@
             {.id = inId,
              .service = inService,
              .address = {"127.0.0.1", inServer.listener.port()},
-             // The first endpoint is in the instance's own failure domain and so is preferred.
+             // The first endpoint is preferred because it is in the instance's failure domain.
              .failureDomain = &inServer == &first ? "north" : "south",
              .capacity = 4,
              .startedMs = 1}});
@@ -237,7 +237,7 @@
 
 } // namespace
 
-TEST_CASE("a request is passed on unchanged but for key, tenant, deadline and endpoint")
+TEST_CASE("a request is forwarded unchanged except for key, tenant, deadline and endpoint")
 {
     front_fixture fixture;
     fixture.configure(repetition::once, 1);
@@ -256,7 +256,7 @@
     CHECK(seen.find("Expect-Instance: e1\r\n") != std::string::npos);
 }
 
-TEST_CASE("unknown routes, unknown keys and a missing configuration are told apart")
+TEST_CASE("unknown routes, unknown keys and a missing configuration get different statuses")
 {
     front_fixture fixture;
     CHECK(fixture.call().status == 503);
@@ -267,7 +267,7 @@
     CHECK(fixture.first.requests.empty());
 }
 
-TEST_CASE("a request beyond the account's rate is refused and says when to come back")
+TEST_CASE("a request beyond the account's rate is refused with a retry time")
 {
     front_fixture fixture;
     fixture.configure(repetition::once, 1);
@@ -293,7 +293,7 @@
     CHECK(http1::findField(view.fields, "Retry-After").has_value());
 }
 
-TEST_CASE("an explicit refusal is sent to another endpoint, within the limit of endpoints")
+TEST_CASE("an explicitly refused request is sent to other endpoints up to the route's maximum")
 {
     front_fixture fixture;
     fixture.configure(repetition::once, 2);
@@ -308,7 +308,7 @@
     CHECK(fixture.second.requests.size() == 1);
 }
 
-TEST_CASE("a request that runs once and whose connection broke is answered as unknown")
+TEST_CASE("a request that runs at most once has an unknown outcome if its connection broke")
 {
     front_fixture fixture;
     fixture.configure(repetition::once, 3);
@@ -318,7 +318,7 @@
     CHECK(fixture.second.requests.empty());
 }
 
-TEST_CASE("a repeatable request whose connection broke or which failed goes to another endpoint")
+TEST_CASE("a repeatable request is sent to another endpoint if it failed or its connection broke")
 {
     front_fixture fixture;
     fixture.configure(repetition::repeatable, 2);
@@ -330,7 +330,7 @@
     CHECK(fixture.call().status == 200);
 }
 
-TEST_CASE("an endpoint's failure is passed on with its seal where it may not be repeated")
+TEST_CASE("an endpoint's failure is forwarded with its seal if the request may not be repeated")
 {
     front_fixture fixture;
     fixture.configure(repetition::once, 2);
@@ -341,7 +341,7 @@
     CHECK(http1::findField(view.fields, platform::cSealField) == "s1");
 }
 
-TEST_CASE("an endpoint's failure is passed on where no other endpoint is left")
+TEST_CASE("an endpoint's failure is forwarded if no other endpoint is left")
 {
     front_fixture fixture;
     fixture.configure(repetition::repeatable, 3);
@@ -353,7 +353,7 @@
     CHECK(http1::findField(view.fields, platform::cSealField) == "s1");
 }
 
-TEST_CASE("an unsealed success, a cut one and one in an encoding are not passed on")
+TEST_CASE("unsealed, truncated and encoded successes are not forwarded")
 {
     front_fixture fixture;
     fixture.configure(repetition::once, 1);
@@ -361,14 +361,14 @@
          {std::string("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"),
           cSealed.substr(0, cSealed.size() - 1), std::string("garbage\r\n\r\n"),
           "HTTP/1.1 200 OK\r\nContent-Encoding: gzip\r\n" + cSealed.substr(17)}) {
-        // After some failures the first endpoint gets probes only.
+        // After several failures the first endpoint receives only probes.
         fixture.first.script = {{answer, true}};
         fixture.second.script = {{answer, true}};
         CHECK(fixture.call().status == 502);
     }
 }
 
-TEST_CASE("a refusal without the endpoint's statement is no promise for a request that runs once")
+TEST_CASE("a refusal without the not-executed field does not prove that the request did not run")
 {
     front_fixture fixture;
     fixture.configure(repetition::once, 1);
@@ -377,7 +377,7 @@
     CHECK(fixture.call().status == 502);
 }
 
-TEST_CASE("a silent endpoint ends in an unknown outcome at the route's time, its work is cancelled")
+TEST_CASE("a silent endpoint gives an unknown outcome at the route's timeout and is cancelled")
 {
     front_fixture fixture;
     fixture.configure(repetition::once, 1, 300ms);
@@ -386,7 +386,7 @@
     CHECK(fixture.first.ended == 1);
 }
 
-TEST_CASE("a caller that leaves has its work cancelled")
+TEST_CASE("the work of a caller that disconnects is cancelled")
 {
     front_fixture fixture;
     fixture.configure(repetition::once, 1);
@@ -401,7 +401,7 @@
     CHECK(fixture.front.running() == 0);
 }
 
-TEST_CASE("events are passed on whole, and a stream that breaks off does not look complete")
+TEST_CASE("events are forwarded whole, and a broken stream does not look complete")
 {
     front_fixture fixture;
     fixture.configure(repetition::once_stream, 2);
@@ -414,7 +414,7 @@
     CHECK(fixture.call().end.outcome == kind::complete);
 }
 
-TEST_CASE("a resumable stream goes on at another endpoint behind the last whole event")
+TEST_CASE("a resumable stream continues at another endpoint after the last complete event")
 {
     front_fixture fixture;
     fixture.configure(repetition::resumable_stream, 2);
@@ -429,7 +429,7 @@
     CHECK(fixture.second.requests[0].find("Last-Event-Id: 2\r\n") != std::string::npos);
 }
 
-TEST_CASE("a stream that can't go on is cut, without an answer of the instance's own in it")
+TEST_CASE("a stream that can't be resumed is aborted without an answer of the instance in it")
 {
     front_fixture fixture;
     fixture.configure(repetition::resumable_stream, 2);
@@ -440,7 +440,7 @@
     CHECK(view.end.outcome == kind::broken);
 }
 
-TEST_CASE("a stream whose adapter no other engine loads is cut, not refused in its middle")
+TEST_CASE("a started stream is aborted, not refused, if no other engine loads its adapter")
 {
     front_fixture fixture;
     fixture.configure(repetition::resumable_stream, 3, 4s);
@@ -458,11 +458,11 @@
     CHECK(fixture.wanted.contains("m3"));
     CHECK(view.body == "id: 1\ndata: a\n\n");
     CHECK(view.end.outcome == kind::broken);
-    // An answer in the middle of the chunks would be "not an answer".
+    // An answer of the instance inside the chunks would end with "not an answer".
     CHECK(view.end.reason == "the connection was closed");
 }
 
-TEST_CASE("a request waits for its adapter's load and is sent when it is there")
+TEST_CASE("a request waits until its adapter is loaded and is then sent")
 {
     front_fixture fixture;
     fixture.configure(repetition::once_stream, 1);
@@ -475,7 +475,7 @@
     CHECK(fixture.wanted.contains("m1"));
 }
 
-TEST_CASE("a draining instance answers what arrives and asks for the end of the connection")
+TEST_CASE("a draining instance answers requests and closes their connections")
 {
     front_fixture fixture;
     fixture.configure(repetition::once, 1);
@@ -488,7 +488,7 @@
     CHECK(http1::findField(view.fields, "Connection") == "close");
 }
 
-TEST_CASE("a stopping instance takes no stream that it would have to cut")
+TEST_CASE("a stopping instance refuses streams that it could not finish")
 {
     front_fixture fixture;
     fixture.configure(repetition::once_stream, 1);
--- a/tests/unit/forwarding_rules_test.cpp
+++ b/tests/unit/forwarding_rules_test.cpp
@@ -1,5 +1,5 @@
-// Guards against requests that run twice, refusals that are not true, and streams that are joined
-// wrongly.
+// Guards against requests that run twice, refusals of requests that may have run, and streams that
+// are resumed incorrectly.
 
 #include "corneltally/forwarding/attempt_rules.h"
 #include "corneltally/forwarding/event_splitter.h"
@@ -35,7 +35,7 @@
     CHECK(stepAfter(repeatable) == next_step::try_other);
 }
 
-TEST_CASE("an explicit refusal keeps the statement of the attempts before it")
+TEST_CASE("an explicit refusal keeps the run state of the previous attempts")
 {
     attempt_facts facts{.result = attempt_result::refused,
                         .kind = repetition::repeatable,
@@ -49,7 +49,7 @@
     CHECK(stepAfter(facts) == next_step::answer_unknown);
 }
 
-TEST_CASE("an attempt that reached nobody does not use up an endpoint")
+TEST_CASE("an attempt that sent nothing does not count as a used endpoint")
 {
     const attempt_facts facts{.result = attempt_result::not_sent,
                               .kind = repetition::once,
@@ -59,7 +59,7 @@
     CHECK(stepAfter(facts) == next_step::try_other);
 }
 
-TEST_CASE("an endpoint's own failure is passed on where it may not be repeated")
+TEST_CASE("an endpoint's failure is forwarded if the request may not be repeated")
 {
     attempt_facts facts{.result = attempt_result::failure_answered,
                         .kind = repetition::once,
@@ -73,7 +73,7 @@
     CHECK(stepAfter(facts) == next_step::pass_failure);
 }
 
-TEST_CASE("an answer that was begun goes on or is cut")
+TEST_CASE("a started answer is resumed or aborted")
 {
     attempt_facts facts{.result = attempt_result::broken,
                         .kind = repetition::resumable_stream,
@@ -89,7 +89,7 @@
     CHECK(stepAfter(facts) == next_step::abort);
 }
 
-TEST_CASE("a stream is cut into whole events")
+TEST_CASE("a stream is split into complete events")
 {
     forwarding::event_splitter splitter;
     CHECK(splitter.append("id: 1\ndata: a\n").empty());
