--- a/corneltally/forwarding/instance.cpp
+++ b/corneltally/forwarding/instance.cpp
@@ -180,8 +180,9 @@
     {
         const auto settings = mReload();
         if (!settings) {
-            core::logEvent(core::log_level::error, "reload_failed",
-                           {{"remedy", "correct the settings file; the former settings stay"}});
+            core::logEvent(
+                core::log_level::error, "reload_failed",
+                {{"remedy", "correct the settings file; the previous settings remain in force"}});
             return;
         }
         mFront.setRetryLimits(retryLimits(*settings));
