--- a/corneltally/fleet/holder_claims.cpp
+++ b/corneltally/fleet/holder_claims.cpp
@@ -6,8 +6,8 @@
 
 namespace corneltally::fleet {
 
-void holder_claims::read(const std::string &inEngine, std::optional<claim> inClaim,
-                         core::time_point inNow)
+void holder_claims::applyClaim(const std::string &inEngine, std::optional<claim> inClaim,
+                               core::time_point inNow)
 {
     if (!inClaim) {
         mEngines.erase(inEngine);
@@ -29,7 +29,7 @@
     mEngines.insert_or_assign(inEngine, next);
 }
 
-void holder_claims::confirmed(core::time_point inStartedAt)
+void holder_claims::confirmRead(core::time_point inStartedAt)
 {
     mConfirmedAt = std::max(mConfirmedAt, inStartedAt);
     if (!mFirstConfirmed)
@@ -51,11 +51,11 @@
 
 bool holder_claims::mayOrder(std::string_view inEngine, core::time_point inNow) const
 {
-    return holds(inEngine) && lookIsValid(inNow)
+    return holds(inEngine) && isReadValid(inNow)
         && inNow >= mEngines.find(inEngine)->second.notBefore;
 }
 
-bool holder_claims::lookIsValid(core::time_point inNow) const
+bool holder_claims::isReadValid(core::time_point inNow) const
 {
     const core::duration age = inNow - mConfirmedAt;
     if (age < mSettings.lookAge)
@@ -96,27 +96,28 @@
 
 /// Whether no live instance suits an engine better: those of its own failure domain go first, since
 /// they reach it while the domain is cut off.
-bool holder_claims::isPreferred(const located &inEngine,
-                                const std::vector<located> &inLiveInstances) const
+bool holder_claims::isPreferred(const fleet_node &inEngine,
+                                const std::vector<fleet_node> &inLiveInstances) const
 {
     const auto rank = [&](const std::string &inInstance, const std::string &inDomain) {
         return std::pair(inDomain == inEngine.failureDomain,
                          core::rendezvousWeight(inEngine.name, inInstance));
     };
     const auto own = rank(mSelf.instance, mFailureDomain);
-    return std::ranges::none_of(inLiveInstances, [&](const located &inOther) {
+    return std::ranges::none_of(inLiveInstances, [&](const fleet_node &inOther) {
         return inOther.name != mSelf.instance && rank(inOther.name, inOther.failureDomain) > own;
     });
 }
 
-std::vector<std::string> holder_claims::wanted(const std::vector<located> &inEngines,
-                                               const std::vector<located> &inLiveInstances,
-                                               core::time_point inNow) const
+std::vector<std::string>
+holder_claims::enginesToClaim(const std::vector<fleet_node> &inEngines,
+                              const std::vector<fleet_node> &inLiveInstances,
+                              core::time_point inNow) const
 {
     std::vector<std::string> claims;
     if (!mFirstConfirmed)
         return claims;
-    for (const located &engine : inEngines) {
+    for (const fleet_node &engine : inEngines) {
         const claim *holder = find(engine.name);
         if (holds(engine.name))
             continue;
@@ -134,12 +135,13 @@
     return claims;
 }
 
-std::vector<std::string> holder_claims::obsolete(const std::vector<located> &inEngines) const
+std::vector<std::string>
+holder_claims::obsoleteClaims(const std::vector<fleet_node> &inEngines) const
 {
     std::vector<std::string> names;
     for (const auto &[engine, held] : mEngines) {
         if (holds(engine)
-            && std::ranges::find(inEngines, engine, &located::name) == inEngines.end())
+            && std::ranges::find(inEngines, engine, &fleet_node::name) == inEngines.end())
             names.push_back(engine);
     }
     return names;
--- a/corneltally/fleet/holder_claims.h
+++ b/corneltally/fleet/holder_claims.h
@@ -54,12 +54,12 @@
 };
 
 /// An engine or an instance with its failure domain.
-struct located
+struct fleet_node
 {
     std::string name;
     std::string failureDomain;
 
-    friend auto operator<=>(const located &, const located &) = default;
+    friend auto operator<=>(const fleet_node &, const fleet_node &) = default;
 };
 
 /// Which instance may give orders to which engine. The claims are records of a topic of the store,
@@ -78,13 +78,14 @@
     void setSettings(claim_settings inSettings) { mSettings = inSettings; }
 
     /// A claim was read from the store; without one the engine is free.
-    void read(const std::string &inEngine, std::optional<claim> inClaim, core::time_point inNow);
+    void applyClaim(const std::string &inEngine, std::optional<claim> inClaim,
+                    core::time_point inNow);
 
     /// All claims up to the end of the topic were read, in a read that was started at a time.
-    void confirmed(core::time_point inStartedAt);
+    void confirmRead(core::time_point inStartedAt);
 
     /// The last look at the claims does not count any more, after a pause of the process.
-    void distrust() { mConfirmedAt = {}; }
+    void invalidateRead() { mConfirmedAt = {}; }
 
     /// The store holds exactly these claims.
     void keepOnly(const std::set<std::string> &inEngines);
@@ -105,13 +106,13 @@
 
     /// The record of this instance was read. Instances without a record don't count for holders, so
     /// this one claims engines of others only after the silence time from then.
-    void recorded(core::time_point inNow) { mRecordedAt = inNow; }
+    void setRecorded(core::time_point inNow) { mRecordedAt = inNow; }
 
     /// Whether all other instances that may exist have said within a time that they hear this one.
     bool isHeardByAll(core::duration inAge, core::time_point inNow) const;
 
     /// Whether the last look at the claims is recent enough to append a claim behind it.
-    bool hasFreshLook(core::time_point inNow) const
+    bool hasFreshRead(core::time_point inNow) const
     {
         return inNow - mConfirmedAt < mSettings.claimLookAge;
     }
@@ -120,12 +121,12 @@
     void setMembers(std::vector<std::string> inMembers) { mMembers = std::move(inMembers); }
 
     /// Engines that this instance should claim, of those that exist, once its look is fresh.
-    std::vector<std::string> wanted(const std::vector<located> &inEngines,
-                                    const std::vector<located> &inLiveInstances,
-                                    core::time_point inNow) const;
+    std::vector<std::string> enginesToClaim(const std::vector<fleet_node> &inEngines,
+                                            const std::vector<fleet_node> &inLiveInstances,
+                                            core::time_point inNow) const;
 
     /// Claims on engines that do not exist any more and can be removed.
-    std::vector<std::string> obsolete(const std::vector<located> &inEngines) const;
+    std::vector<std::string> obsoleteClaims(const std::vector<fleet_node> &inEngines) const;
 
     const claim &self() const { return mSelf; }
 
@@ -137,9 +138,10 @@
         core::time_point notBefore;
     };
 
-    bool isPreferred(const located &inEngine, const std::vector<located> &inLiveInstances) const;
+    bool isPreferred(const fleet_node &inEngine,
+                     const std::vector<fleet_node> &inLiveInstances) const;
     core::time_point lastHeard(const std::string &inInstance) const;
-    bool lookIsValid(core::time_point inNow) const;
+    bool isReadValid(core::time_point inNow) const;
 
     claim_settings mSettings;
     claim mSelf;
--- a/corneltally/orders/order_service.cpp
+++ b/corneltally/orders/order_service.cpp
@@ -102,7 +102,7 @@
         cName, [this](const catalog::endpoints_listed &inListed) {
             if (inListed.mayReturn)
                 return;
-            for (const fleet::located &engine : knownEngines()) {
+            for (const fleet::fleet_node &engine : knownEngines()) {
                 if (std::ranges::find(inListed.ids, engine.name) == inListed.ids.end())
                     endpointGone(engine.name);
             }
@@ -150,7 +150,7 @@
 void order_service::paused()
 {
     // What the claims said before the pause is outdated; the next read confirms them anew.
-    mClaims.distrust();
+    mClaims.invalidateRead();
     mRegistry.post("catalog", catalog::fleet_look{});
     for (auto &[engine, state] : mHeld)
         publish(engine, state, core::boot_clock::now());
@@ -162,7 +162,7 @@
     std::set<std::string> listed;
     for (const store::record &record : inUpdate.update.records) {
         if (fleet::memberName(record) == mOptions.self.instance && record.value)
-            mClaims.recorded(now);
+            mClaims.setRecorded(now);
         const auto engine = fleet::claimedEngine(record);
         if (!engine)
             continue;
@@ -173,7 +173,7 @@
             continue;
         }
         listed.insert(*engine);
-        mClaims.read(*engine, claimed, now);
+        mClaims.applyClaim(*engine, claimed, now);
         if (claimed)
             core::logEvent(
                 core::log_level::info, "engine_claimed",
@@ -181,7 +181,7 @@
     }
     if (inUpdate.update.complete)
         mClaims.keepOnly(listed);
-    mClaims.confirmed(inUpdate.update.asOf);
+    mClaims.confirmRead(inUpdate.update.asOf);
     mTopicEnd = inUpdate.update.end;
     mTopicLoaded = true;
     for (const auto &[engine, domain] : knownEngines()) {
@@ -202,9 +202,9 @@
     return service != nullptr && service->engine ? &*service->engine : nullptr;
 }
 
-std::vector<fleet::located> order_service::knownEngines() const
+std::vector<fleet::fleet_node> order_service::knownEngines() const
 {
-    std::vector<fleet::located> engines;
+    std::vector<fleet::fleet_node> engines;
     for (const auto &[id, entry] : mEntries) {
         if (profileOf(entry) != nullptr)
             engines.push_back({id, entry.failureDomain});
@@ -264,7 +264,7 @@
 /// Delay of this instance's claims behind those of others of its failure domain.
 core::duration order_service::claimDelay() const
 {
-    return cClaimStep * std::ranges::count_if(mLive, [this](const fleet::located &inOther) {
+    return cClaimStep * std::ranges::count_if(mLive, [this](const fleet::fleet_node &inOther) {
                return inOther.failureDomain == mOptions.failureDomain
                    && inOther.name < mOptions.self.instance;
            });
@@ -274,12 +274,12 @@
 {
     if (mAppendUnderWay || !mTopicLoaded || inNow < mClaimNotBefore)
         return;
-    const std::vector<fleet::located> existing = knownEngines();
+    const std::vector<fleet::fleet_node> existing = knownEngines();
     std::vector<store::record> records;
-    for (const std::string &engine : mClaims.wanted(existing, mLive, inNow))
+    for (const std::string &engine : mClaims.enginesToClaim(existing, mLive, inNow))
         records.push_back(fleet::claimRecord(engine, mOptions.self));
     const core::duration delay = records.empty() ? cObsoleteTime : claimDelay();
-    for (const std::string &engine : mClaims.obsolete(existing))
+    for (const std::string &engine : mClaims.obsoleteClaims(existing))
         records.push_back(fleet::removedClaim(engine));
     if (records.empty()) {
         mClaimWantedAt.reset();
@@ -289,7 +289,7 @@
         mClaimWantedAt = inNow;
     if (inNow - *mClaimWantedAt < delay)
         return;
-    if (!mClaims.hasFreshLook(inNow)) {
+    if (!mClaims.hasFreshRead(inNow)) {
         if (inNow - mLookAskedAt >= cLookTime) {
             mLookAskedAt = inNow;
             mRegistry.post("catalog", catalog::fleet_look{});
--- a/corneltally/orders/order_service.h
+++ b/corneltally/orders/order_service.h
@@ -81,7 +81,7 @@
                     engines::order_outcome inOutcome, core::time_point inSentAt);
     void askReport(const std::string &inEngine, held &ioHeld, core::time_point inNow);
     void publish(const std::string &inEngine, held &ioHeld, core::time_point inNow);
-    std::vector<fleet::located> knownEngines() const;
+    std::vector<fleet::fleet_node> knownEngines() const;
     const routing::engine_profile *profileOf(const engines::endpoint_entry &inEntry) const;
 
     kernel::service_registry &mRegistry;
@@ -94,7 +94,7 @@
     std::map<std::string, engines::endpoint_entry> mEntries;
     std::map<std::string, held> mHeld;
     std::map<std::string, std::uint64_t> mNamedVersions;
-    std::vector<fleet::located> mLive;
+    std::vector<fleet::fleet_node> mLive;
     /// Adapters on their way to the engines that other instances hold, by engine.
     std::map<std::string, engines::residency> mElsewhere;
     std::uint64_t mTopicEnd = 0;
--- a/tests/unit/fleet_holder_claims_test.cpp
+++ b/tests/unit/fleet_holder_claims_test.cpp
@@ -15,7 +15,7 @@
 
 const core::time_point cStart{1h};
 const claim cSelf{"a", "10.0.0.1", 7, 0};
-const std::vector<fleet::located> cEngine{{"e1", "north"}};
+const std::vector<fleet::fleet_node> cEngine{{"e1", "north"}};
 
 claim claimOf(const std::string &inInstance, const std::string &inMachine,
               std::uint64_t inIncarnation, std::uint64_t inFence)
@@ -28,29 +28,29 @@
 TEST_CASE("a free engine may be ordered at once, and only by its claimant")
 {
     fleet::holder_claims claims({}, cSelf, "north");
-    claims.confirmed(cStart);
+    claims.confirmRead(cStart);
     // The instances have to know each other first.
-    CHECK(claims.wanted(cEngine, {}, cStart).empty());
-    CHECK(claims.wanted(cEngine, {}, cStart + 1s) == std::vector<std::string>{"e1"});
+    CHECK(claims.enginesToClaim(cEngine, {}, cStart).empty());
+    CHECK(claims.enginesToClaim(cEngine, {}, cStart + 1s) == std::vector<std::string>{"e1"});
     CHECK_FALSE(claims.mayOrder("e1", cStart));
-    claims.read("e1", claimOf("a", "10.0.0.1", 7, 5), cStart);
+    claims.applyClaim("e1", claimOf("a", "10.0.0.1", 7, 5), cStart);
     CHECK(claims.mayOrder("e1", cStart));
-    claims.read("e1", claimOf("b", "10.0.0.2", 1, 6), cStart);
+    claims.applyClaim("e1", claimOf("b", "10.0.0.2", 1, 6), cStart);
     CHECK_FALSE(claims.mayOrder("e1", cStart));
 }
 
 TEST_CASE("a holder whose last look at the claims is old may not order")
 {
     fleet::holder_claims claims({}, cSelf, "north");
-    claims.confirmed(cStart);
-    claims.read("e1", claimOf("a", "10.0.0.1", 7, 5), cStart);
+    claims.confirmRead(cStart);
+    claims.applyClaim("e1", claimOf("a", "10.0.0.1", 7, 5), cStart);
     claims.setMembers({"b"});
     const core::duration limit = fleet::claim_settings().lookAge;
     CHECK(claims.mayOrder("e1", cStart + limit - 100ms));
     CHECK_FALSE(claims.mayOrder("e1", cStart + limit));
-    claims.confirmed(cStart + 5s);
+    claims.confirmRead(cStart + 5s);
     CHECK(claims.mayOrder("e1", cStart + 5s));
-    claims.distrust();
+    claims.invalidateRead();
     CHECK_FALSE(claims.mayOrder("e1", cStart + 5s));
 }
 
@@ -58,17 +58,17 @@
 {
     const fleet::claim_settings settings;
     fleet::holder_claims claims(settings, cSelf, "north");
-    claims.read("e1", claimOf("b", "10.0.0.2", 1, 5), cStart);
-    claims.confirmed(cStart);
+    claims.applyClaim("e1", claimOf("b", "10.0.0.2", 1, 5), cStart);
+    claims.confirmRead(cStart);
     const core::time_point taken = cStart + 10s;
-    claims.confirmed(taken);
-    claims.read("e1", claimOf("a", "10.0.0.1", 7, 9), taken);
+    claims.confirmRead(taken);
+    claims.applyClaim("e1", claimOf("a", "10.0.0.1", 7, 9), taken);
     const core::duration wait = settings.lookAge + settings.changePause;
     for (core::duration later = 0s; later < wait; later += 500ms) {
-        claims.confirmed(taken + later);
+        claims.confirmRead(taken + later);
         CHECK_FALSE(claims.mayOrder("e1", taken + later));
     }
-    claims.confirmed(taken + wait + settings.margin);
+    claims.confirmRead(taken + wait + settings.margin);
     CHECK(claims.mayOrder("e1", taken + wait + settings.margin));
 }
 
@@ -76,8 +76,8 @@
 {
     const fleet::claim_settings settings;
     fleet::holder_claims claims(settings, cSelf, "north");
-    claims.confirmed(cStart);
-    claims.read("e1", claimOf("a", "10.0.0.1", 7, 5), cStart);
+    claims.confirmRead(cStart);
+    claims.applyClaim("e1", claimOf("a", "10.0.0.1", 7, 5), cStart);
     claims.setMembers({"b", "c"});
     const core::time_point later = cStart + 5s;
     claims.heardBy("b", later);
@@ -99,21 +99,22 @@
 TEST_CASE("the wait survives a new start of the same machine")
 {
     fleet::holder_claims claims({}, cSelf, "north");
-    claims.read("e1", claimOf("b", "10.0.0.2", 1, 5), cStart);
-    claims.read("e1", claimOf("a", "10.0.0.1", 6, 6), cStart);
-    claims.read("e1", claimOf("a", "10.0.0.1", 7, 7), cStart + 1s);
-    claims.confirmed(cStart + 1s);
+    claims.applyClaim("e1", claimOf("b", "10.0.0.2", 1, 5), cStart);
+    claims.applyClaim("e1", claimOf("a", "10.0.0.1", 6, 6), cStart);
+    claims.applyClaim("e1", claimOf("a", "10.0.0.1", 7, 7), cStart + 1s);
+    claims.confirmRead(cStart + 1s);
     CHECK_FALSE(claims.mayOrder("e1", cStart + 1s));
 }
 
 TEST_CASE("a machine takes its own engines back at once after a new start")
 {
     fleet::holder_claims claims({}, cSelf, "north");
-    claims.read("e1", claimOf("a", "10.0.0.1", 6, 5), cStart);
-    claims.confirmed(cStart);
+    claims.applyClaim("e1", claimOf("a", "10.0.0.1", 6, 5), cStart);
+    claims.confirmRead(cStart);
     CHECK_FALSE(claims.mayOrder("e1", cStart));
-    CHECK(claims.wanted(cEngine, {{"b", "north"}}, cStart) == std::vector<std::string>{"e1"});
-    claims.read("e1", claimOf("a", "10.0.0.1", 7, 6), cStart);
+    CHECK(claims.enginesToClaim(cEngine, {{"b", "north"}}, cStart)
+          == std::vector<std::string>{"e1"});
+    claims.applyClaim("e1", claimOf("a", "10.0.0.1", 7, 6), cStart);
     CHECK(claims.mayOrder("e1", cStart));
 }
 
@@ -121,27 +122,28 @@
 {
     const fleet::claim_settings settings;
     fleet::holder_claims claims(settings, cSelf, "north");
-    claims.read("e1", claimOf("b", "10.0.0.2", 1, 5), cStart);
-    claims.confirmed(cStart);
-    claims.recorded(cStart);
+    claims.applyClaim("e1", claimOf("b", "10.0.0.2", 1, 5), cStart);
+    claims.confirmRead(cStart);
+    claims.setRecorded(cStart);
     claims.heard("b", cStart);
-    claims.confirmed(cStart + 6s);
-    CHECK(claims.wanted(cEngine, {}, cStart + 6s).empty());
-    claims.confirmed(cStart + 7s);
-    CHECK(claims.wanted(cEngine, {}, cStart + 7s) == std::vector<std::string>{"e1"});
+    claims.confirmRead(cStart + 6s);
+    CHECK(claims.enginesToClaim(cEngine, {}, cStart + 6s).empty());
+    claims.confirmRead(cStart + 7s);
+    CHECK(claims.enginesToClaim(cEngine, {}, cStart + 7s) == std::vector<std::string>{"e1"});
     // Of two live instances one is preferred for each engine.
     fleet::holder_claims other(settings, {"c", "10.0.0.3", 1, 0}, "north");
-    other.read("e1", claimOf("b", "10.0.0.2", 1, 5), cStart);
-    other.confirmed(cStart);
-    other.recorded(cStart);
+    other.applyClaim("e1", claimOf("b", "10.0.0.2", 1, 5), cStart);
+    other.confirmRead(cStart);
+    other.setRecorded(cStart);
     other.heard("b", cStart);
-    other.confirmed(cStart + 7s);
-    const auto mine = claims.wanted(cEngine, {{"c", "north"}}, cStart + 7s);
-    const auto theirs = other.wanted(cEngine, {{"a", "north"}}, cStart + 7s);
+    other.confirmRead(cStart + 7s);
+    const auto mine = claims.enginesToClaim(cEngine, {{"c", "north"}}, cStart + 7s);
+    const auto theirs = other.enginesToClaim(cEngine, {{"a", "north"}}, cStart + 7s);
     CHECK(mine.size() + theirs.size() == 1);
     // One of the engine's failure domain goes before all others.
-    CHECK(claims.wanted(cEngine, {{"c", "south"}, {"d", "south"}}, cStart + 7s).size() == 1);
-    CHECK(other.wanted({{"e1", "south"}}, {{"d", "south"}}, cStart + 7s).empty());
+    CHECK(claims.enginesToClaim(cEngine, {{"c", "south"}, {"d", "south"}}, cStart + 7s).size()
+          == 1);
+    CHECK(other.enginesToClaim({{"e1", "south"}}, {{"d", "south"}}, cStart + 7s).empty());
 }
 
 TEST_CASE(
@@ -149,31 +151,31 @@
 {
     const fleet::claim_settings settings;
     fleet::holder_claims claims(settings, cSelf, "north");
-    claims.read("e1", claimOf("b", "10.0.0.2", 1, 5), cStart);
-    claims.confirmed(cStart);
+    claims.applyClaim("e1", claimOf("b", "10.0.0.2", 1, 5), cStart);
+    claims.confirmRead(cStart);
     const core::time_point later = cStart + 20s;
-    claims.confirmed(later);
-    CHECK(claims.wanted(cEngine, {}, later).empty());
-    claims.recorded(later);
-    CHECK(claims.wanted(cEngine, {}, later).empty());
-    claims.confirmed(later + settings.silence);
-    CHECK(claims.wanted(cEngine, {}, later + settings.silence).size() == 1);
+    claims.confirmRead(later);
+    CHECK(claims.enginesToClaim(cEngine, {}, later).empty());
+    claims.setRecorded(later);
+    CHECK(claims.enginesToClaim(cEngine, {}, later).empty());
+    claims.confirmRead(later + settings.silence);
+    CHECK(claims.enginesToClaim(cEngine, {}, later + settings.silence).size() == 1);
 }
 
 TEST_CASE("an older record never replaces a newer claim")
 {
     fleet::holder_claims claims({}, cSelf, "north");
-    claims.read("e1", claimOf("b", "10.0.0.2", 1, 9), cStart);
-    claims.read("e1", claimOf("a", "10.0.0.1", 7, 5), cStart);
+    claims.applyClaim("e1", claimOf("b", "10.0.0.2", 1, 9), cStart);
+    claims.applyClaim("e1", claimOf("a", "10.0.0.1", 7, 5), cStart);
     CHECK(claims.find("e1")->instance == "b");
 }
 
 TEST_CASE("a claim needs a fresh look, and looks may be rare only while all others hear this one")
 {
     fleet::holder_claims claims({}, cSelf, "north");
-    claims.confirmed(cStart);
-    CHECK(claims.hasFreshLook(cStart + 900ms));
-    CHECK_FALSE(claims.hasFreshLook(cStart + 1100ms));
+    claims.confirmRead(cStart);
+    CHECK(claims.hasFreshRead(cStart + 900ms));
+    CHECK_FALSE(claims.hasFreshRead(cStart + 1100ms));
     claims.setMembers({"b", "c"});
     claims.heardBy("b", cStart);
     CHECK_FALSE(claims.isHeardByAll(1500ms, cStart));
