--- a/corneltally/fleet/holder_claims.cpp
+++ b/corneltally/fleet/holder_claims.cpp
@@ -24,7 +24,8 @@
         if (before.holder.machine == inClaim->machine)
             next.notBefore = before.notBefore;
         else
-            next.notBefore = inNow + mSettings.lookAge + mSettings.changePause + mSettings.margin;
+            next.notBefore
+                = inNow + mSettings.maxReadAge + mSettings.handoverPause + mSettings.handoverMargin;
     }
     mEngines.insert_or_assign(inEngine, next);
 }
@@ -58,9 +59,9 @@
 bool holder_claims::isReadValid(core::time_point inNow) const
 {
     const core::duration age = inNow - mConfirmedAt;
-    if (age < mSettings.lookAge)
+    if (age < mSettings.maxReadAge)
         return true;
-    return age < mSettings.promisedLookAge && isHeardByAll(mSettings.promiseAge, inNow);
+    return age < mSettings.maxReadAgeWhenHeard && isHeardByAll(mSettings.maxHeardAge, inNow);
 }
 
 bool holder_claims::isHeardByAll(core::duration inAge, core::time_point inNow) const
@@ -126,9 +127,11 @@
             claims.push_back(engine.name);
             continue;
         }
-        const bool isFree = holder == nullptr ? inNow - *mFirstConfirmed >= mSettings.firstClaim
-                                              : mRecordedAt
-                && inNow - std::max(*mRecordedAt, lastHeard(holder->instance)) >= mSettings.silence;
+        const bool isFree = holder == nullptr
+            ? inNow - *mFirstConfirmed >= mSettings.firstClaimDelay
+            : mRecordedAt
+                && inNow - std::max(*mRecordedAt, lastHeard(holder->instance))
+                    >= mSettings.silenceTimeout;
         if (isFree && isPreferred(engine, inLiveInstances))
             claims.push_back(engine.name);
     }
--- a/corneltally/fleet/holder_claims.h
+++ b/corneltally/fleet/holder_claims.h
@@ -17,27 +17,27 @@
 struct claim_settings
 {
     /// A holder orders only while its last look at the claims is younger than this, ...
-    core::duration lookAge = std::chrono::milliseconds(4000);
+    core::duration maxReadAge = std::chrono::milliseconds(4000);
     /// ... or younger than this while all instances that it knows of say that they hear it: nobody
     /// claims engines of an instance that it hears. An instance that the holder does not know of
     /// yet can't order before its own silence and its wait for the holder are over.
-    core::duration promisedLookAge = std::chrono::milliseconds(11000);
+    core::duration maxReadAgeWhenHeard = std::chrono::milliseconds(11000);
     /// Longest age of such a word. An instance claims only after its own silence time, and a claim
     /// takes effect only after the lookAge, so this may be their sum, less the time after which an
     /// instance counts as not heard (1.2 s) and a margin for words that arrive late.
-    core::duration promiseAge = std::chrono::milliseconds(6500);
+    core::duration maxHeardAge = std::chrono::milliseconds(6500);
     /// Time between the orders of two holders of one engine that the operator asks for.
-    core::duration changePause = std::chrono::milliseconds(3000);
+    core::duration handoverPause = std::chrono::milliseconds(3000);
     /// Added to the changePause for delays of orders on their way.
-    core::duration margin = std::chrono::milliseconds(400);
+    core::duration handoverMargin = std::chrono::milliseconds(400);
     /// An instance that was not heard for this long loses its engines. Most cuts and restarts are
     /// shorter, and a holder that comes back goes on at once, a successor has to wait.
-    core::duration silence = std::chrono::milliseconds(7000);
+    core::duration silenceTimeout = std::chrono::milliseconds(7000);
     /// A claim is appended only behind a look that is younger than this. A slow store takes a
     /// quarter of a second and more to answer one.
-    core::duration claimLookAge = std::chrono::milliseconds(1000);
+    core::duration maxReadAgeForClaim = std::chrono::milliseconds(1000);
     /// Free engines are claimed only after this time, when the live instances know each other.
-    core::duration firstClaim = std::chrono::milliseconds(600);
+    core::duration firstClaimDelay = std::chrono::milliseconds(600);
 };
 
 /// Who holds an engine.
@@ -114,7 +114,7 @@
     /// Whether the last look at the claims is recent enough to append a claim behind it.
     bool hasFreshRead(core::time_point inNow) const
     {
-        return inNow - mConfirmedAt < mSettings.claimLookAge;
+        return inNow - mConfirmedAt < mSettings.maxReadAgeForClaim;
     }
 
     /// All other instances that may exist.
--- a/corneltally/forwarding/instance.cpp
+++ b/corneltally/forwarding/instance.cpp
@@ -163,7 +163,7 @@
                                                .machine = mSettings.machine,
                                                .incarnation = mIncarnation},
                                       .failureDomain = mSettings.failureDomain};
-        options.claims.changePause = milliseconds(mSettings.holderPauseMs);
+        options.claims.handoverPause = milliseconds(mSettings.holderPauseMs);
         options.keeper.adapterLoad = milliseconds(mSettings.adapterLoadMs);
         return options;
     }
--- a/tests/unit/fleet_holder_claims_test.cpp
+++ b/tests/unit/fleet_holder_claims_test.cpp
@@ -45,7 +45,7 @@
     claims.confirmRead(cStart);
     claims.applyClaim("e1", claimOf("a", "10.0.0.1", 7, 5), cStart);
     claims.setMembers({"b"});
-    const core::duration limit = fleet::claim_settings().lookAge;
+    const core::duration limit = fleet::claim_settings().maxReadAge;
     CHECK(claims.mayOrder("e1", cStart + limit - 100ms));
     CHECK_FALSE(claims.mayOrder("e1", cStart + limit));
     claims.confirmRead(cStart + 5s);
@@ -63,13 +63,13 @@
     const core::time_point taken = cStart + 10s;
     claims.confirmRead(taken);
     claims.applyClaim("e1", claimOf("a", "10.0.0.1", 7, 9), taken);
-    const core::duration wait = settings.lookAge + settings.changePause;
+    const core::duration wait = settings.maxReadAge + settings.handoverPause;
     for (core::duration later = 0s; later < wait; later += 500ms) {
         claims.confirmRead(taken + later);
         CHECK_FALSE(claims.mayOrder("e1", taken + later));
     }
-    claims.confirmRead(taken + wait + settings.margin);
-    CHECK(claims.mayOrder("e1", taken + wait + settings.margin));
+    claims.confirmRead(taken + wait + settings.handoverMargin);
+    CHECK(claims.mayOrder("e1", taken + wait + settings.handoverMargin));
 }
 
 TEST_CASE("a holder that all others hear goes on without the store for a while")
@@ -87,13 +87,14 @@
     // One that is restarted meanwhile does not stop the holder at once.
     claims.heardBy("b", cStart + 10s);
     CHECK(claims.mayOrder("e1", cStart + 10s));
-    CHECK_FALSE(claims.mayOrder("e1", later + settings.promiseAge));
-    CHECK(settings.promiseAge + 1200ms < settings.silence + settings.lookAge);
-    claims.heardBy("b", cStart + settings.promisedLookAge);
-    claims.heardBy("c", cStart + settings.promisedLookAge);
-    CHECK_FALSE(claims.mayOrder("e1", cStart + settings.promisedLookAge));
+    CHECK_FALSE(claims.mayOrder("e1", later + settings.maxHeardAge));
+    CHECK(settings.maxHeardAge + 1200ms < settings.silenceTimeout + settings.maxReadAge);
+    claims.heardBy("b", cStart + settings.maxReadAgeWhenHeard);
+    claims.heardBy("c", cStart + settings.maxReadAgeWhenHeard);
+    CHECK_FALSE(claims.mayOrder("e1", cStart + settings.maxReadAgeWhenHeard));
     // An instance that the holder does not know of can't order before the holder has stopped.
-    CHECK(settings.silence + settings.lookAge + settings.changePause > settings.promisedLookAge);
+    CHECK(settings.silenceTimeout + settings.maxReadAge + settings.handoverPause
+          > settings.maxReadAgeWhenHeard);
 }
 
 TEST_CASE("the wait survives a new start of the same machine")
@@ -158,8 +159,8 @@
     CHECK(claims.enginesToClaim(cEngine, {}, later).empty());
     claims.setRecorded(later);
     CHECK(claims.enginesToClaim(cEngine, {}, later).empty());
-    claims.confirmRead(later + settings.silence);
-    CHECK(claims.enginesToClaim(cEngine, {}, later + settings.silence).size() == 1);
+    claims.confirmRead(later + settings.silenceTimeout);
+    CHECK(claims.enginesToClaim(cEngine, {}, later + settings.silenceTimeout).size() == 1);
 }
 
 TEST_CASE("an older record never replaces a newer claim")
