--- a/corneltally/fleet/fleet_records.cpp
+++ b/corneltally/fleet/fleet_records.cpp
@@ -13,7 +13,7 @@
 constexpr std::string_view cMemberPrefix = "instance/";
 constexpr std::string_view cClaimPrefix = "engine/";
 
-std::optional<std::string> nameBehind(std::string_view inPrefix, const std::string &inKey)
+std::optional<std::string> nameAfterPrefix(std::string_view inPrefix, const std::string &inKey)
 {
     if (!inKey.starts_with(inPrefix))
         return std::nullopt;
@@ -61,12 +61,12 @@
 
 std::optional<std::string> memberName(const store::record &inRecord)
 {
-    return nameBehind(cMemberPrefix, inRecord.key);
+    return nameAfterPrefix(cMemberPrefix, inRecord.key);
 }
 
 std::optional<std::string> claimedEngine(const store::record &inRecord)
 {
-    return nameBehind(cClaimPrefix, inRecord.key);
+    return nameAfterPrefix(cClaimPrefix, inRecord.key);
 }
 
 std::optional<member> decodeMember(const store::record &inRecord)
--- a/corneltally/fleet/mesh_service.cpp
+++ b/corneltally/fleet/mesh_service.cpp
@@ -17,18 +17,18 @@
 /// Heartbeats carry loads and totals of rates; their age bounds how far both can be off.
 constexpr core::duration cHeartbeatPeriod = std::chrono::milliseconds(200);
 /// An instance that was not heard for this long is not live: five heartbeats.
-constexpr core::duration cLiveTime = std::chrono::milliseconds(1000);
+constexpr core::duration cLiveTimeout = std::chrono::milliseconds(1000);
 /// A connection is opened anew if the other end did not say for this long that it hears this
 /// instance, since a connection may go silent while new ones work.
-constexpr core::duration cUnheardTime = std::chrono::milliseconds(1500);
+constexpr core::duration cUnheardTimeout = std::chrono::milliseconds(1500);
 constexpr core::duration cFirstRetry = std::chrono::milliseconds(100);
 constexpr core::duration cLastRetry = std::chrono::milliseconds(1000);
 /// The record of an instance that was not heard for this long is removed, so that holders need not
 /// wait for its word. If it lives it records itself again.
-constexpr core::duration cRecordTime = std::chrono::seconds(8);
+constexpr core::duration cRecordRemovalTime = std::chrono::seconds(8);
 /// An instance without a record counts in the rates for this long, since it may be cut off and
 /// live.
-constexpr core::duration cForgetTime = std::chrono::seconds(60);
+constexpr core::duration cForgetTimeout = std::chrono::seconds(60);
 
 } // namespace
 
@@ -47,7 +47,7 @@
         cName, [this](const catalog::fleet_topic_updated &inUpdate) { topicUpdated(inUpdate); });
     mRegistry.handle<catalog::fleet_append_ended>(
         cName, [this](const catalog::fleet_append_ended &inEnded) {
-            mRecordUnderWay = false;
+            mAppendPending = false;
             if (inEnded.result.outcome != store::append_result::status::accepted)
                 core::logEvent(core::log_level::warning, "instance_record_not_written",
                                {{"outcome", static_cast<int>(inEnded.result.outcome)}});
@@ -62,8 +62,9 @@
                                   inPassed.record.value}});
         });
     mRegistry.handle<catalog::endpoint_records_passed>(
-        cName,
-        [this](const catalog::endpoint_records_passed &inPassed) { passRecords(inPassed.update); });
+        cName, [this](const catalog::endpoint_records_passed &inPassed) {
+            relayRecords(inPassed.update);
+        });
     mRegistry.handle<mesh_send>(cName, [this](const mesh_send &inSend) { send(inSend); });
     mRegistry.handle<heartbeat_part>(
         cName, [this](const heartbeat_part &inPart) { sendHeartbeats(inPart); });
@@ -107,36 +108,36 @@
         if (*name == mOptions.self.instance)
             mSelfRecorded = *described == mOptions.self;
         else
-            noteMember(*described, true);
+            updateMember(*described, true);
     }
     if (inUpdate.update.complete) {
         if (std::ranges::find(listed, mOptions.self.instance) == listed.end())
             mSelfRecorded = false;
-        std::vector<std::string> gone;
+        std::vector<std::string> removed;
         for (const auto &[name, known] : mInstances) {
             if (known.recorded && std::ranges::find(listed, name) == listed.end())
-                gone.push_back(name);
+                removed.push_back(name);
         }
-        for (const std::string &name : gone)
+        for (const std::string &name : removed)
             removeMember(name);
     }
     mTopicEnd = inUpdate.update.end;
-    mTopicLoaded = true;
+    mTopicRead = true;
     recordSelf();
     publishInstances();
 }
 
 void mesh_service::recordSelf()
 {
-    if (mSelfRecorded || mRecordUnderWay || !mTopicLoaded)
+    if (mSelfRecorded || mAppendPending || !mTopicRead)
         return;
-    mRecordUnderWay = true;
+    mAppendPending = true;
     mRegistry.post(
         "catalog",
         catalog::fleet_append{std::string(cName), {memberRecord(mOptions.self)}, std::nullopt});
 }
 
-void mesh_service::noteMember(const member &inMember, bool inRecorded)
+void mesh_service::updateMember(const member &inMember, bool inRecorded)
 {
     known_instance &known = mInstances[inMember.instance];
     known.recorded = known.recorded || inRecorded;
@@ -163,14 +164,14 @@
     std::erase_if(mInstances, [&](const auto &inEntry) {
         const known_instance &known = inEntry.second;
         return !known.recorded && !known.live && known.heardAt
-            && inNow - *known.heardAt > cForgetTime;
+            && inNow - *known.heardAt > cForgetTimeout;
     });
-    if (!mTopicLoaded || mRecordUnderWay)
+    if (!mTopicRead || mAppendPending)
         return;
     for (auto &[name, known] : mInstances) {
         if (!known.heardAt)
             known.heardAt = inNow;
-        if (known.live || !known.recorded || inNow - *known.heardAt < cRecordTime)
+        if (known.live || !known.recorded || inNow - *known.heardAt < cRecordRemovalTime)
             continue;
         // One live instance writes: the first by name.
         const bool isFirst = std::ranges::none_of(mInstances, [&](const auto &inOther) {
@@ -178,7 +179,7 @@
         });
         if (!isFirst)
             return;
-        mRecordUnderWay = true;
+        mAppendPending = true;
         mRegistry.post(
             "catalog",
             catalog::fleet_append{std::string(cName), {removedMember(name)}, std::nullopt});
@@ -207,8 +208,8 @@
         mIncoming.erase(found);
         return;
     }
-    if (const auto *greeting = std::get_if<hello>(&*decoded)) {
-        helloReceived(link, *greeting);
+    if (const auto *received = std::get_if<hello>(&*decoded)) {
+        helloReceived(link, *received);
         return;
     }
     const auto known = mInstances.find(link.instance);
@@ -217,14 +218,14 @@
         return;
     if (const auto *beat = std::get_if<heartbeat>(&*decoded))
         heartbeatReceived(link.instance, *beat);
-    if (const auto *passed = std::get_if<endpoint_records>(&*decoded)) {
+    if (const auto *relayed = std::get_if<endpoint_records>(&*decoded)) {
         mRegistry.broadcast(catalog::endpoint_records_received{
-            {.records = passed->records, .from = passed->from, .end = passed->end}});
+            {.records = relayed->records, .from = relayed->from, .end = relayed->end}});
         return;
     }
-    if (const auto *passed = std::get_if<operator_record>(&*decoded)) {
+    if (const auto *relayed = std::get_if<operator_record>(&*decoded)) {
         mRegistry.broadcast(
-            catalog::operator_record_received{{passed->key, passed->value, passed->offset}});
+            catalog::operator_record_received{{relayed->key, relayed->value, relayed->offset}});
         return;
     }
     mRegistry.broadcast(mesh_received{link.instance, link.incarnation, *decoded});
@@ -236,9 +237,9 @@
     ioLink.incarnation = inHello.incarnation;
     if (inHello.instance == mOptions.self.instance)
         return;
-    noteMember({inHello.instance, inHello.machine, inHello.address, inHello.failureDomain,
-                inHello.incarnation},
-               false);
+    updateMember({inHello.instance, inHello.machine, inHello.address, inHello.failureDomain,
+                  inHello.incarnation},
+                 false);
     publishInstances();
 }
 
@@ -294,15 +295,15 @@
     link->retryAt = core::boot_clock::now() + link->retryPause;
 }
 
-void mesh_service::tendLinks(core::time_point inNow)
+void mesh_service::maintainLinks(core::time_point inNow)
 {
     for (auto &[name, known] : mInstances) {
-        if (known.link.connection && inNow - known.link.openedAt > cUnheardTime
-            && inNow - known.hearsSelfAt > cUnheardTime)
+        if (known.link.connection && inNow - known.link.openedAt > cUnheardTimeout
+            && inNow - known.hearsSelfAt > cUnheardTimeout)
             known.link.connection.reset();
         if (!known.link.connection && inNow >= known.link.retryAt)
             openLink(known.link, known.description.address, name);
-        if (known.live && inNow - *known.heardAt > cLiveTime) {
+        if (known.live && inNow - *known.heardAt > cLiveTimeout) {
             known.live = false;
             mMetrics.count("peers_lost_total");
             core::logEvent(core::log_level::warning, "peer_lost", {{"peer", name}});
@@ -325,7 +326,7 @@
 void mesh_service::tick()
 {
     const core::time_point now = core::boot_clock::now();
-    tendLinks(now);
+    maintainLinks(now);
     recordSelf();
     dropSilentMembers(now);
     publishInstances();
@@ -361,7 +362,7 @@
 }
 
 /// Passes endpoints' records on to the other instances of the own failure domain.
-void mesh_service::passRecords(const store::topic_update &inUpdate)
+void mesh_service::relayRecords(const store::topic_update &inUpdate)
 {
     const std::string bytes = encode(
         endpoint_records{inUpdate.records, inUpdate.from, inUpdate.end}, core::boot_clock::now());
@@ -373,22 +374,22 @@
 }
 
 /// The first live instance of a failure domain by name reads for the others.
-void mesh_service::chooseReader()
+void mesh_service::updateReader()
 {
-    const bool reads = std::ranges::none_of(mInstances, [this](const auto &inEntry) {
+    const bool isReader = std::ranges::none_of(mInstances, [this](const auto &inEntry) {
         return inEntry.second.live && inEntry.first < mOptions.self.instance
             && inEntry.second.description.failureDomain == mOptions.self.failureDomain;
     });
-    if (mReads == reads)
+    if (mIsReader == isReader)
         return;
-    mReads = reads;
-    core::logEvent(core::log_level::info, "endpoint_reader", {{"reads", reads}});
-    mRegistry.broadcast(catalog::endpoint_reader_changed{reads});
+    mIsReader = isReader;
+    core::logEvent(core::log_level::info, "endpoint_reader", {{"reads", isReader}});
+    mRegistry.broadcast(catalog::endpoint_reader_changed{isReader});
 }
 
 void mesh_service::publishInstances()
 {
-    chooseReader();
+    updateReader();
     instances_changed current;
     for (const auto &[name, known] : mInstances) {
         current.members.push_back(name);
--- a/corneltally/fleet/mesh_service.h
+++ b/corneltally/fleet/mesh_service.h
@@ -83,7 +83,7 @@
     };
 
     void topicUpdated(const catalog::fleet_topic_updated &inUpdate);
-    void noteMember(const member &inMember, bool inRecorded);
+    void updateMember(const member &inMember, bool inRecorded);
     void removeMember(const std::string &inInstance);
     void recordSelf();
     void dropSilentMembers(core::time_point inNow);
@@ -93,12 +93,12 @@
     void heartbeatReceived(const std::string &inInstance, const heartbeat &inHeartbeat);
     void openLink(outgoing &ioLink, const std::string &inAddress, const std::string &inName);
     void linkClosed(const std::string &inName);
-    void tendLinks(core::time_point inNow);
+    void maintainLinks(core::time_point inNow);
     void tick();
     void sendHeartbeats(const heartbeat_part &inPart);
     void send(const mesh_send &inSend);
-    void passRecords(const store::topic_update &inUpdate);
-    void chooseReader();
+    void relayRecords(const store::topic_update &inUpdate);
+    void updateReader();
     void publishInstances();
 
     kernel::service_registry &mRegistry;
@@ -112,11 +112,11 @@
     std::uint64_t mNextIncoming = 1;
     std::uint64_t mOperatorEnd = 0;
     std::uint64_t mTopicEnd = 0;
-    bool mTopicLoaded = false;
+    bool mTopicRead = false;
     bool mSelfRecorded = false;
-    bool mRecordUnderWay = false;
+    bool mAppendPending = false;
     bool mDraining = false;
-    std::optional<bool> mReads;
+    std::optional<bool> mIsReader;
     std::optional<instances_changed> mPublished;
 };
 
