--- a/corneltally/fleet/fleet_codec.h
+++ b/corneltally/fleet/fleet_codec.h
@@ -9,10 +9,11 @@
 
 namespace corneltally::fleet {
 
-/// Body of a frame. Points in time are sent as the time that is left.
+/// Encodes the body of a frame. Points in time are sent as the remaining time, since the clocks of
+/// instances differ.
 std::string encode(const message &inMessage, core::time_point inNow);
 
-/// Nothing if the bytes are not a message.
+/// Decodes the body of a frame; returns nothing if the bytes are not a valid message.
 std::optional<message> decode(std::string_view inBytes, core::time_point inNow);
 
 } // namespace corneltally::fleet
--- a/corneltally/fleet/fleet_messages.h
+++ b/corneltally/fleet/fleet_messages.h
@@ -23,13 +23,13 @@
     std::string address;
     std::string failureDomain;
     std::uint64_t incarnation = 0;
-    /// Offset behind the newest operator's record that the sender has.
+    /// Offset after the newest operator record that the sender has.
     std::uint64_t operatorEnd = 0;
 
     friend bool operator==(const hello &, const hello &) = default;
 };
 
-/// Longest pause between the events of an answer of an endpoint.
+/// Longest pause between two events of one answer from an endpoint.
 struct answer_pause
 {
     engines::endpoint_digest endpoint = 0;
@@ -38,26 +38,26 @@
     friend auto operator<=>(const answer_pause &, const answer_pause &) = default;
 };
 
-/// Sent several times a second.
+/// Sent to each instance several times a second.
 struct heartbeat
 {
     std::uint64_t operatorEnd = 0;
     bool draining = false;
-    /// Whether the sender hears the receiver.
+    /// Whether the sender receives heartbeats from the receiver.
     bool hearsReceiver = false;
     std::vector<limits::account_use> accountUses;
     std::map<engines::endpoint_digest, engines::endpoint_load> loads;
-    /// Adapters that requests were sent for since the last heartbeat, and those that requests run
-    /// on.
+    /// Adapters used by the requests sent since the last heartbeat, and those that running requests
+    /// use.
     std::vector<engines::adapter_digest> adapterUses;
     std::vector<engines::adapter_digest> adaptersRunning;
-    /// Pauses that the sender saw since the last heartbeat.
+    /// Longest pauses of the answers that the sender received since the last heartbeat.
     std::vector<answer_pause> pauses;
 
     friend bool operator==(const heartbeat &, const heartbeat &) = default;
 };
 
-/// A request needs an adapter on an engine that the receiver holds.
+/// Asks the holder of an engine to load the adapter that a request needs.
 struct load_wanted
 {
     std::string endpoint;
@@ -70,7 +70,7 @@
     friend bool operator==(const load_wanted &, const load_wanted &) = default;
 };
 
-/// An engine refused a request because the adapter is not there.
+/// An engine refused a request because the adapter is not resident.
 struct adapter_missing
 {
     std::string endpoint;
@@ -80,7 +80,7 @@
     friend bool operator==(const adapter_missing &, const adapter_missing &) = default;
 };
 
-/// The first request of the sender on an adapter began, or its last one ended.
+/// The sender's first request that uses an adapter started, or its last one ended.
 struct adapter_running
 {
     std::string endpoint;
@@ -91,22 +91,22 @@
     friend bool operator==(const adapter_running &, const adapter_running &) = default;
 };
 
-/// What the holder of an engine knows of its adapters.
+/// State of an engine and its adapters as known to its holder.
 struct engine_state
 {
     std::string endpoint;
     std::uint64_t startedMs = 0;
-    /// Whether the holder may give orders now.
+    /// Whether the holder may currently give orders to the engine.
     bool ready = false;
     engines::residency adapters;
     std::vector<std::string> models;
-    /// Adapters that are asked for and wait for a place.
+    /// Number of requested adapters that wait for a free slot.
     int queued = 0;
 
     friend bool operator==(const engine_state &, const engine_state &) = default;
 };
 
-/// A record of the operator's topic, for instances that the store does not serve.
+/// A record of the operator topic, relayed to instances that can't reach the store.
 struct operator_record
 {
     std::string key;
@@ -116,7 +116,7 @@
     friend bool operator==(const operator_record &, const operator_record &) = default;
 };
 
-/// Endpoints' records for the other instances of a failure domain.
+/// Endpoint records, relayed to the other instances of the failure domain.
 struct endpoint_records
 {
     std::vector<store::record> records;
--- a/corneltally/fleet/fleet_records.h
+++ b/corneltally/fleet/fleet_records.h
@@ -7,18 +7,18 @@
 #include <optional>
 #include <string>
 
-/// Records of the topic that the instances share.
+/// Records of the topic that the instances write and read.
 namespace corneltally::fleet {
 
 /// Name of that topic.
 inline const std::string cFleetTopic = "keyed.fleet";
 
-/// An instance that was started, as its record says.
+/// A started instance, as described by its record.
 struct member
 {
     std::string instance;
     std::string machine;
-    /// Where other instances reach it.
+    /// Address for connections from other instances.
     std::string address;
     std::string failureDomain;
     std::uint64_t incarnation = 0;
@@ -29,16 +29,16 @@
 store::record memberRecord(const member &inMember);
 store::record claimRecord(const std::string &inEngine, const claim &inClaim);
 
-/// Records without a value; they remove the key.
+/// Records without a value, which remove the key.
 store::record removedMember(const std::string &inInstance);
 store::record removedClaim(const std::string &inEngine);
 
-/// Name in the key of a record of one kind; nothing for records of other kinds.
+/// Return the name in the key of a record; nothing if the record is of another kind.
 std::optional<std::string> memberName(const store::record &inRecord);
 std::optional<std::string> claimedEngine(const store::record &inRecord);
 
-/// Contents of a record; nothing if it has none or is damaged. The fence of a claim is its place in
-/// the topic.
+/// Decode the value of a record; nothing if it has none or is damaged. The fence of a claim is
+/// derived from the offset of its record.
 std::optional<member> decodeMember(const store::record &inRecord);
 std::optional<claim> decodeClaim(const store::record &inRecord);
 
--- a/corneltally/fleet/holder_claims.cpp
+++ b/corneltally/fleet/holder_claims.cpp
@@ -19,8 +19,8 @@
         const held_engine &before = found->second;
         if (before.holder.fence >= inClaim->fence)
             return;
-        // Orders of one machine need no pause between them. The former holder may go on until its
-        // last look at the claims, taken before this record, has become too old.
+        // Holders on the same machine need no pause between their orders. Any other former holder
+        // may continue until its last read of the claims, which precedes this record, is too old.
         if (before.holder.machine == inClaim->machine)
             next.notBefore = before.notBefore;
         else
@@ -91,12 +91,12 @@
 core::time_point holder_claims::lastHeard(const std::string &inInstance) const
 {
     const auto found = mHeard.find(inInstance);
-    // An instance that was never heard gets the full time from this instance's own start.
+    // For an instance that was never heard the silence counts from this instance's first read.
     return found == mHeard.end() ? mFirstConfirmed.value_or(core::time_point()) : found->second;
 }
 
-/// Whether no live instance suits an engine better: those of its own failure domain go first, since
-/// they reach it while the domain is cut off.
+/// Whether this instance is the preferred holder among the live ones. Instances in the engine's
+/// failure domain come first, since they reach it even if the domain is cut off.
 bool holder_claims::isPreferred(const fleet_node &inEngine,
                                 const std::vector<fleet_node> &inLiveInstances) const
 {
@@ -122,7 +122,7 @@
         const claim *holder = find(engine.name);
         if (holds(engine.name))
             continue;
-        // The machine's own engines come back to it at once.
+        // After a restart, a machine takes back its engines without waiting.
         if (holder != nullptr && holder->machine == mSelf.machine) {
             claims.push_back(engine.name);
             continue;
--- a/corneltally/fleet/holder_claims.h
+++ b/corneltally/fleet/holder_claims.h
@@ -13,47 +13,48 @@
 
 namespace corneltally::fleet {
 
-/// Constants of claims on engines.
+/// Time limits of claims on engines.
 struct claim_settings
 {
-    /// A holder orders only while its last look at the claims is younger than this, ...
+    /// A holder gives orders only if its last read of the claims is more recent than this.
     core::duration maxReadAge = std::chrono::milliseconds(4000);
-    /// ... or younger than this while all instances that it knows of say that they hear it: nobody
-    /// claims engines of an instance that it hears. An instance that the holder does not know of
-    /// yet can't order before its own silence and its wait for the holder are over.
+    /// Replaces maxReadAge while all known instances report that they hear the holder, since no
+    /// instance claims the engines of an instance that it hears. An instance unknown to the holder
+    /// can't give orders before its silenceTimeout and its wait for the former holder have passed.
     core::duration maxReadAgeWhenHeard = std::chrono::milliseconds(11000);
-    /// Longest age of such a word. An instance claims only after its own silence time, and a claim
-    /// takes effect only after the lookAge, so this may be their sum, less the time after which an
-    /// instance counts as not heard (1.2 s) and a margin for words that arrive late.
+    /// Maximum age of such a report. An instance claims only after its silenceTimeout, and a claim
+    /// takes effect only after maxReadAge. The limit must therefore stay below their sum by the
+    /// time after which an instance counts as not heard (1.2 s) and a margin for late reports.
     core::duration maxHeardAge = std::chrono::milliseconds(6500);
-    /// Time between the orders of two holders of one engine that the operator asks for.
+    /// Pause between the orders of two successive holders of an engine, as set by the operator.
     core::duration handoverPause = std::chrono::milliseconds(3000);
-    /// Added to the changePause for delays of orders on their way.
+    /// Added to handoverPause for orders that are delayed in transit.
     core::duration handoverMargin = std::chrono::milliseconds(400);
-    /// An instance that was not heard for this long loses its engines. Most cuts and restarts are
-    /// shorter, and a holder that comes back goes on at once, a successor has to wait.
+    /// An instance that was not heard for this long loses its engines. Most network interruptions
+    /// and restarts are shorter: a returning holder can continue at once, while a successor has to
+    /// wait.
     core::duration silenceTimeout = std::chrono::milliseconds(7000);
-    /// A claim is appended only behind a look that is younger than this. A slow store takes a
-    /// quarter of a second and more to answer one.
+    /// A claim is appended only if the last read of the claims is more recent than this. A slow
+    /// store takes 0.25 s and more to answer a read.
     core::duration maxReadAgeForClaim = std::chrono::milliseconds(1000);
-    /// Free engines are claimed only after this time, when the live instances know each other.
+    /// Free engines are claimed only after this delay, so that the live instances know each other.
     core::duration firstClaimDelay = std::chrono::milliseconds(600);
 };
 
-/// Who holds an engine.
+/// Holder of an engine.
 struct claim
 {
-    /// Name of the instance and the machine that it runs on.
+    /// Name of the instance, and the machine that it runs on.
     std::string instance;
     std::string machine;
     std::uint64_t incarnation = 0;
-    /// Grows with each claim on any engine; the fencing number of the holder's orders.
+    /// Fencing number of the holder's orders; increases with each claim on any engine.
     std::uint64_t fence = 0;
 
     friend auto operator<=>(const claim &, const claim &) = default;
 };
 
-/// An engine or an instance with its failure domain.
+/// An engine or instance and its failure domain.
 struct fleet_node
 {
     std::string name;
@@ -62,10 +63,10 @@
     friend auto operator<=>(const fleet_node &, const fleet_node &) = default;
 };
 
-/// Which instance may give orders to which engine. The claims are records of a topic of the store,
-/// appended only behind the last record that the claimant has read, so all instances agree on
-/// their order. A claim on an engine of another holder takes effect only after that holder must
-/// have stopped.
+/// Decides which instance may give orders to which engine. Claims are records of a topic in the
+/// store. A claim is appended only if the topic still ends where the claimant's last read ended, so
+/// all instances agree on the sequence of claims. A claim on an engine of another holder takes
+/// effect only after that holder must have stopped giving orders.
 class holder_claims
 {
 public:
@@ -77,55 +78,56 @@
 
     void setSettings(claim_settings inSettings) { mSettings = inSettings; }
 
-    /// A claim was read from the store; without one the engine is free.
+    /// Applies a claim read from the store. Without a claim the engine is free.
     void applyClaim(const std::string &inEngine, std::optional<claim> inClaim,
                     core::time_point inNow);
 
-    /// All claims up to the end of the topic were read, in a read that was started at a time.
+    /// Notes that all claims up to the end of the topic were read by a read started at inStartedAt.
     void confirmRead(core::time_point inStartedAt);
 
-    /// The last look at the claims does not count any more, after a pause of the process.
+    /// Invalidates the last read of the claims, for example after the process was suspended.
     void invalidateRead() { mConfirmedAt = {}; }
 
-    /// The store holds exactly these claims.
+    /// Drops the claims on all engines except these.
     void keepOnly(const std::set<std::string> &inEngines);
 
-    /// Whether this instance may order now. To be asked immediately before each order.
+    /// Whether this instance may give orders now. Must be checked immediately before each order.
     bool mayOrder(std::string_view inEngine, core::time_point inNow) const;
 
-    /// Whether this instance holds the engine, even if it has to wait before its first order.
+    /// Whether this instance holds the engine, even if it still has to wait before its first order.
     bool holds(std::string_view inEngine) const;
 
     const claim *find(std::string_view inEngine) const;
 
-    /// Another instance gave a sign of life.
+    /// Notes that a message of another instance was received.
     void heard(std::string_view inInstance, core::time_point inNow);
 
-    /// Another instance said that it hears this one.
+    /// Notes that another instance reported that it hears this one.
     void heardBy(std::string_view inInstance, core::time_point inNow);
 
-    /// The record of this instance was read. Instances without a record don't count for holders, so
-    /// this one claims engines of others only after the silence time from then.
+    /// Notes that the record of this instance was read. Holders take no account of instances
+    /// without a record, so this one claims engines of others only after the silenceTimeout has
+    /// passed since then.
     void setRecorded(core::time_point inNow) { mRecordedAt = inNow; }
 
-    /// Whether all other instances that may exist have said within a time that they hear this one.
+    /// Whether all other instances that may exist reported within inAge that they hear this one.
     bool isHeardByAll(core::duration inAge, core::time_point inNow) const;
 
-    /// Whether the last look at the claims is recent enough to append a claim behind it.
+    /// Whether the last read of the claims is recent enough to append a claim.
     bool hasFreshRead(core::time_point inNow) const
     {
         return inNow - mConfirmedAt < mSettings.maxReadAgeForClaim;
     }
 
-    /// All other instances that may exist.
+    /// Sets all other instances that may exist.
     void setMembers(std::vector<std::string> inMembers) { mMembers = std::move(inMembers); }
 
-    /// Engines that this instance should claim, of those that exist, once its look is fresh.
+    /// Returns which of the existing engines this instance should claim after a fresh read.
     std::vector<std::string> enginesToClaim(const std::vector<fleet_node> &inEngines,
                                             const std::vector<fleet_node> &inLiveInstances,
                                             core::time_point inNow) const;
 
-    /// Claims on engines that do not exist any more and can be removed.
+    /// Returns the engines held by this instance that no longer exist, whose claims can be removed.
     std::vector<std::string> obsoleteClaims(const std::vector<fleet_node> &inEngines) const;
 
     const claim &self() const { return mSelf; }
@@ -134,7 +136,7 @@
     struct held_engine
     {
         claim holder;
-        /// This instance orders only from this time on.
+        /// This instance may give orders only from this time on.
         core::time_point notBefore;
     };
 
--- a/corneltally/fleet/mesh_messages.h
+++ b/corneltally/fleet/mesh_messages.h
@@ -10,14 +10,14 @@
 /// Messages from and to the mesh service.
 namespace corneltally::fleet {
 
-/// Sends a message to one instance, or to all if none is named.
+/// Sends a message to one instance, or to all instances if the name is empty.
 struct mesh_send
 {
     std::string instance;
     message body;
 };
 
-/// A message of another instance.
+/// A message received from another instance.
 struct mesh_received
 {
     std::string instance;
@@ -25,23 +25,23 @@
     message body;
 };
 
-/// The instances that may exist, and those that were heard lately; both without this one.
+/// The instances that may exist and those that are live, both without this one.
 struct instances_changed
 {
     std::vector<std::string> members;
-    /// Those of them that may claim engines: they have a record or are live.
+    /// Members that may claim engines: those that have a record or are live.
     std::vector<std::string> recorded;
-    /// Failure domains of the live ones, by name.
+    /// Failure domains of the live instances, by instance name.
     std::map<std::string, std::string> live;
 
     friend bool operator==(const instances_changed &, const instances_changed &) = default;
 };
 
-/// Asks a service for its part of the next heartbeat; it answers with a heartbeat_part.
+/// Asks for the contents of the next heartbeat, which are sent back as a heartbeat_part.
 struct heartbeat_due
 { };
 
-/// What the front end contributes to the next heartbeat.
+/// Contents of the next heartbeat, provided by the front service.
 struct heartbeat_part
 {
     std::vector<limits::account_use> accountUses;
--- a/corneltally/fleet/mesh_service.cpp
+++ b/corneltally/fleet/mesh_service.cpp
@@ -14,20 +14,20 @@
 
 namespace {
 
-/// Heartbeats carry loads and totals of rates; their age bounds how far both can be off.
+/// Heartbeats carry loads and rate totals; the period limits how outdated these can be.
 constexpr core::duration cHeartbeatPeriod = std::chrono::milliseconds(200);
-/// An instance that was not heard for this long is not live: five heartbeats.
+/// An instance that was not heard for this long, five heartbeats, is not live.
 constexpr core::duration cLiveTimeout = std::chrono::milliseconds(1000);
-/// A connection is opened anew if the other end did not say for this long that it hears this
-/// instance, since a connection may go silent while new ones work.
+/// A connection is reopened if the other instance has not reported for this long that it hears this
+/// one, since an established connection may be dead while new ones work.
 constexpr core::duration cUnheardTimeout = std::chrono::milliseconds(1500);
 constexpr core::duration cFirstRetry = std::chrono::milliseconds(100);
 constexpr core::duration cLastRetry = std::chrono::milliseconds(1000);
-/// The record of an instance that was not heard for this long is removed, so that holders need not
-/// wait for its word. If it lives it records itself again.
+/// The record of an instance that was not heard for this long is removed, so that holders no longer
+/// need its reports. An instance that is still alive appends its record again.
 constexpr core::duration cRecordRemovalTime = std::chrono::seconds(8);
-/// An instance without a record counts in the rates for this long, since it may be cut off and
-/// live.
+/// An instance without a record still counts in the rate limits for this long, since it may be
+/// alive but unreachable.
 constexpr core::duration cForgetTimeout = std::chrono::seconds(60);
 
 } // namespace
@@ -173,7 +173,7 @@
             known.heardAt = inNow;
         if (known.live || !known.recorded || inNow - *known.heardAt < cRecordRemovalTime)
             continue;
-        // One live instance writes: the first by name.
+        // Only the live instance whose name comes first removes records.
         const bool isFirst = std::ranges::none_of(mInstances, [&](const auto &inOther) {
             return inOther.second.live && inOther.first < mOptions.self.instance;
         });
@@ -213,7 +213,7 @@
         return;
     }
     const auto known = mInstances.find(link.instance);
-    // A start that was replaced has nothing more to say.
+    // Messages of a replaced incarnation are ignored.
     if (known == mInstances.end() || known->second.description.incarnation != link.incarnation)
         return;
     if (const auto *beat = std::get_if<heartbeat>(&*decoded))
@@ -309,7 +309,7 @@
             core::logEvent(core::log_level::warning, "peer_lost", {{"peer", name}});
         }
     }
-    // Seeds are needed only while the store names no other instance.
+    // Seeds are needed only while no other instance is known.
     if (!mInstances.empty()) {
         mSeedLinks.clear();
         return;
@@ -361,7 +361,7 @@
     }
 }
 
-/// Passes endpoints' records on to the other instances of the own failure domain.
+/// Relays endpoint records to the other live instances of this failure domain.
 void mesh_service::relayRecords(const store::topic_update &inUpdate)
 {
     const std::string bytes = encode(
@@ -373,7 +373,8 @@
     }
 }
 
-/// The first live instance of a failure domain by name reads for the others.
+/// Determines whether this instance reads the endpoint records and relays them. In each failure
+/// domain this is the live instance whose name comes first.
 void mesh_service::updateReader()
 {
     const bool isReader = std::ranges::none_of(mInstances, [this](const auto &inEntry) {
--- a/corneltally/fleet/mesh_service.h
+++ b/corneltally/fleet/mesh_service.h
@@ -32,12 +32,12 @@
 {
     member self;
     http1::address listen;
-    /// Addresses at which other instances may be found before the store names them.
+    /// Addresses at which other instances may be reached before their records are read.
     std::vector<std::string> seeds;
 };
 
-/// Connections between the instances. Each instance opens a connection to each other one and sends
-/// on it; what it receives arrives on the connections that the others opened.
+/// Manages the connections between instances. Each instance sends on the connections that it opens
+/// to the others and receives on those that the others open to it.
 class mesh_service final : public kernel::service
 {
 public:
@@ -56,7 +56,7 @@
     void setDraining() { mDraining = true; }
 
 private:
-    /// A connection that this instance opened.
+    /// A connection opened by this instance.
     struct outgoing
     {
         std::unique_ptr<peer::connection> connection;
@@ -68,10 +68,10 @@
     {
         member description;
         outgoing link;
-        /// Its record is in the store.
+        /// Whether the store has a record of the instance.
         bool recorded = false;
         std::optional<core::time_point> heardAt;
-        /// When it last said that it hears this instance.
+        /// When the instance last reported that it hears this one.
         core::time_point hearsSelfAt;
         bool live = false;
     };
--- a/tests/unit/fleet_codec_test.cpp
+++ b/tests/unit/fleet_codec_test.cpp
@@ -1,4 +1,4 @@
-// Guards against messages of other instances that are read wrongly or are damaged.
+// Guards against messages between instances that are decoded incorrectly or are damaged.
 
 #include "corneltally/fleet/fleet_codec.h"
 #include "corneltally/fleet/fleet_records.h"
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TEST_CASE("each message arrives as it was sent")
+TEST_CASE("each message is decoded as it was encoded")
 {
     checkRoundTrip(fleet::hello{"a", "10.0.0.1", "10.0.0.1:80", "north", 7, 12});
     checkRoundTrip(fleet::heartbeat{.operatorEnd = 4,
@@ -42,7 +42,7 @@
     checkRoundTrip(fleet::endpoint_records{{{"e1", "{}", 4}, {"e2", std::nullopt, 6}}, 3, 7});
 }
 
-TEST_CASE("the time that is left is sent, since clocks differ")
+TEST_CASE("points in time are sent as remaining time, since clocks differ")
 {
     const fleet::engine_state state{"e1", 5, true, {{}, {{"base/a2", {3, cNow + 250ms}}}}, {}};
     const auto decoded = fleet::decode(fleet::encode(state, cNow), cNow + 1h);
@@ -50,14 +50,14 @@
           == cNow + 1h + 250ms);
 }
 
-TEST_CASE("damaged bytes are no message")
+TEST_CASE("damaged bytes are rejected")
 {
     std::string bytes = fleet::encode(fleet::hello{"a", "m", "x:1", "north", 7, 12}, cNow);
     CHECK_FALSE(fleet::decode("", cNow));
     CHECK_FALSE(fleet::decode(bytes.substr(0, bytes.size() / 2), cNow));
 }
 
-TEST_CASE("records of the instances keep their contents, and a claim gets its place as fence")
+TEST_CASE("instance records keep their contents, and a claim's fence follows from its offset")
 {
     const fleet::member member{"a", "10.0.0.1", "10.0.0.1:80", "north", 7};
     CHECK(fleet::decodeMember(fleet::memberRecord(member)) == member);
@@ -72,7 +72,7 @@
 
 TEST_CASE("a heartbeat of a busy instance stays small")
 {
-    // 20 engines with a request each of 16 accounts: 24 receivers, five times a second.
+    // 20 engines with a request each and 16 accounts; sent to 24 receivers five times a second.
     fleet::heartbeat beat;
     for (int index = 0; index < 20; ++index) {
         const std::string engine = "i-" + std::to_string(1'000'000 + index);
--- a/tests/unit/fleet_holder_claims_test.cpp
+++ b/tests/unit/fleet_holder_claims_test.cpp
@@ -1,5 +1,5 @@
 // Guards against two instances that give orders to one engine at the same time, and against engines
-// that nobody may give orders to.
+// that no instance may give orders to.
 
 #include "corneltally/fleet/holder_claims.h"
 
@@ -25,11 +25,11 @@
 
 } // namespace
 
-TEST_CASE("a free engine may be ordered at once, and only by its claimant")
+TEST_CASE("only the claimant of a free engine may give it orders, and without a wait")
 {
     fleet::holder_claims claims({}, cSelf, "north");
     claims.confirmRead(cStart);
-    // The instances have to know each other first.
+    // Free engines are not claimed before the instances know each other.
     CHECK(claims.enginesToClaim(cEngine, {}, cStart).empty());
     CHECK(claims.enginesToClaim(cEngine, {}, cStart + 1s) == std::vector<std::string>{"e1"});
     CHECK_FALSE(claims.mayOrder("e1", cStart));
@@ -39,7 +39,7 @@
     CHECK_FALSE(claims.mayOrder("e1", cStart));
 }
 
-TEST_CASE("a holder whose last look at the claims is old may not order")
+TEST_CASE("a holder whose last read of the claims is too old may not give orders")
 {
     fleet::holder_claims claims({}, cSelf, "north");
     claims.confirmRead(cStart);
@@ -54,7 +54,7 @@
     CHECK_FALSE(claims.mayOrder("e1", cStart + 5s));
 }
 
-TEST_CASE("a successor waits until its predecessor can't order any more, and the operator's pause")
+TEST_CASE("a successor waits until its predecessor has stopped, plus the operator's pause")
 {
     const fleet::claim_settings settings;
     fleet::holder_claims claims(settings, cSelf, "north");
@@ -72,7 +72,7 @@
     CHECK(claims.mayOrder("e1", taken + wait + settings.handoverMargin));
 }
 
-TEST_CASE("a holder that all others hear goes on without the store for a while")
+TEST_CASE("a holder that all others hear may continue for a limited time without the store")
 {
     const fleet::claim_settings settings;
     fleet::holder_claims claims(settings, cSelf, "north");
@@ -84,7 +84,7 @@
     CHECK_FALSE(claims.mayOrder("e1", later));
     claims.heardBy("c", later);
     CHECK(claims.mayOrder("e1", later));
-    // One that is restarted meanwhile does not stop the holder at once.
+    // An instance that restarts meanwhile does not stop the holder at once.
     claims.heardBy("b", cStart + 10s);
     CHECK(claims.mayOrder("e1", cStart + 10s));
     CHECK_FALSE(claims.mayOrder("e1", later + settings.maxHeardAge));
@@ -92,12 +92,12 @@
     claims.heardBy("b", cStart + settings.maxReadAgeWhenHeard);
     claims.heardBy("c", cStart + settings.maxReadAgeWhenHeard);
     CHECK_FALSE(claims.mayOrder("e1", cStart + settings.maxReadAgeWhenHeard));
-    // An instance that the holder does not know of can't order before the holder has stopped.
+    // An instance unknown to the holder can't give orders before the holder has stopped.
     CHECK(settings.silenceTimeout + settings.maxReadAge + settings.handoverPause
           > settings.maxReadAgeWhenHeard);
 }
 
-TEST_CASE("the wait survives a new start of the same machine")
+TEST_CASE("the wait persists across a restart on the same machine")
 {
     fleet::holder_claims claims({}, cSelf, "north");
     claims.applyClaim("e1", claimOf("b", "10.0.0.2", 1, 5), cStart);
@@ -107,7 +107,7 @@
     CHECK_FALSE(claims.mayOrder("e1", cStart + 1s));
 }
 
-TEST_CASE("a machine takes its own engines back at once after a new start")
+TEST_CASE("a machine takes back its engines without a wait after a restart")
 {
     fleet::holder_claims claims({}, cSelf, "north");
     claims.applyClaim("e1", claimOf("a", "10.0.0.1", 6, 5), cStart);
@@ -119,7 +119,7 @@
     CHECK(claims.mayOrder("e1", cStart));
 }
 
-TEST_CASE("engines of another instance are claimed only after it was silent, by one instance")
+TEST_CASE("engines of a silent instance are claimed after the timeout, by one instance only")
 {
     const fleet::claim_settings settings;
     fleet::holder_claims claims(settings, cSelf, "north");
@@ -131,7 +131,7 @@
     CHECK(claims.enginesToClaim(cEngine, {}, cStart + 6s).empty());
     claims.confirmRead(cStart + 7s);
     CHECK(claims.enginesToClaim(cEngine, {}, cStart + 7s) == std::vector<std::string>{"e1"});
-    // Of two live instances one is preferred for each engine.
+    // Exactly one of two live instances is preferred for each engine.
     fleet::holder_claims other(settings, {"c", "10.0.0.3", 1, 0}, "north");
     other.applyClaim("e1", claimOf("b", "10.0.0.2", 1, 5), cStart);
     other.confirmRead(cStart);
@@ -141,14 +141,14 @@
     const auto mine = claims.enginesToClaim(cEngine, {{"c", "north"}}, cStart + 7s);
     const auto theirs = other.enginesToClaim(cEngine, {{"a", "north"}}, cStart + 7s);
     CHECK(mine.size() + theirs.size() == 1);
-    // One of the engine's failure domain goes before all others.
+    // An instance in the engine's failure domain is preferred to all others.
     CHECK(claims.enginesToClaim(cEngine, {{"c", "south"}, {"d", "south"}}, cStart + 7s).size()
           == 1);
     CHECK(other.enginesToClaim({{"e1", "south"}}, {{"d", "south"}}, cStart + 7s).empty());
 }
 
 TEST_CASE(
-    "an instance whose record was removed claims nothing before the others can know of it again")
+    "an instance whose record was removed claims nothing until the others can know of it again")
 {
     const fleet::claim_settings settings;
     fleet::holder_claims claims(settings, cSelf, "north");
@@ -171,7 +171,7 @@
     CHECK(claims.find("e1")->instance == "b");
 }
 
-TEST_CASE("a claim needs a fresh look, and looks may be rare only while all others hear this one")
+TEST_CASE("a claim needs a fresh read, and isHeardByAll requires recent reports of all members")
 {
     fleet::holder_claims claims({}, cSelf, "north");
     claims.confirmRead(cStart);
