--- a/corneltally/fleet/mesh_service.cpp
+++ b/corneltally/fleet/mesh_service.cpp
@@ -21,8 +21,8 @@
 /// A connection is reopened if the other instance has not reported for this long that it hears this
 /// one, since an established connection may be dead while new ones work.
 constexpr core::duration cUnheardTimeout = std::chrono::milliseconds(1500);
-constexpr core::duration cFirstRetry = std::chrono::milliseconds(100);
-constexpr core::duration cLastRetry = std::chrono::milliseconds(1000);
+constexpr core::duration cMinRetryPause = std::chrono::milliseconds(100);
+constexpr core::duration cMaxRetryPause = std::chrono::milliseconds(1000);
 /// The record of an instance that was not heard for this long is removed, so that holders no longer
 /// need its reports. An instance that is still alive appends its record again.
 constexpr core::duration cRecordRemovalTime = std::chrono::seconds(8);
@@ -122,14 +122,14 @@
             removeMember(name);
     }
     mTopicEnd = inUpdate.update.end;
-    mTopicRead = true;
+    mTopicLoaded = true;
     recordSelf();
     publishInstances();
 }
 
 void mesh_service::recordSelf()
 {
-    if (mSelfRecorded || mAppendPending || !mTopicRead)
+    if (mSelfRecorded || mAppendPending || !mTopicLoaded)
         return;
     mAppendPending = true;
     mRegistry.post(
@@ -166,7 +166,7 @@
         return !known.recorded && !known.live && known.heardAt
             && inNow - *known.heardAt > cForgetTimeout;
     });
-    if (!mTopicRead || mAppendPending)
+    if (!mTopicLoaded || mAppendPending)
         return;
     for (auto &[name, known] : mInstances) {
         if (!known.heardAt)
@@ -291,7 +291,7 @@
     if (link == nullptr)
         return;
     link->connection.reset();
-    link->retryPause = std::clamp(link->retryPause * 2, cFirstRetry, cLastRetry);
+    link->retryPause = std::clamp(link->retryPause * 2, cMinRetryPause, cMaxRetryPause);
     link->retryAt = core::boot_clock::now() + link->retryPause;
 }
 
--- a/corneltally/fleet/mesh_service.h
+++ b/corneltally/fleet/mesh_service.h
@@ -112,7 +112,7 @@
     std::uint64_t mNextIncoming = 1;
     std::uint64_t mOperatorEnd = 0;
     std::uint64_t mTopicEnd = 0;
-    bool mTopicRead = false;
+    bool mTopicLoaded = false;
     bool mSelfRecorded = false;
     bool mAppendPending = false;
     bool mDraining = false;
