--- a/corneltally/catalog/catalog_service.h
+++ b/corneltally/catalog/catalog_service.h
@@ -29,7 +29,7 @@
     /// Time that a read of the operator's records waits at the store. A silent connection is
     /// noticed after it; until then other instances pass the records on, and the reader of the
     /// endpoints notices a silent store within two seconds. Each call to the store is priced.
-    core::duration longWait = std::chrono::milliseconds(8000);
+    core::duration operatorWait = std::chrono::milliseconds(8000);
     /// The same for the instances' own topic, until the orders service asks for another wait.
     core::duration fleetWait = std::chrono::milliseconds(2200);
     /// Pause between reads of the instances' own topic. Each record wakes the reads of all
@@ -53,7 +53,7 @@
         , mClient(std::move(inClient))
         , mSettings(inSettings)
         , mOperator(ioRegistry.loop(), *mClient, inSettings.operatorTopic,
-                    {.wait = inSettings.longWait},
+                    {.wait = inSettings.operatorWait},
                     [this](const store::topic_update &inUpdate) { operatorUpdated(inUpdate); })
         , mEndpoints(ioRegistry.loop(), *mClient, inSettings.endpointTopic,
                      {.pause = inSettings.endpointPause},
@@ -67,7 +67,7 @@
     {
         mRegistry.handle<fleet_append>(cName,
                                        [this](const fleet_append &inAppend) { append(inAppend); });
-        mRegistry.handle<fleet_look>(cName, [this](const fleet_look &) { mFleet.look(); });
+        mRegistry.handle<fleet_look>(cName, [this](const fleet_look &) { mFleet.readNow(); });
         mRegistry.handle<fleet_wait_changed>(
             cName, [this](const fleet_wait_changed &inChanged) { mFleet.setWait(inChanged.wait); });
         mRegistry.handle<operator_record_received>(
@@ -236,14 +236,15 @@
         mClient->append(mSettings.fleetTopic, inAppend.records, inAppend.expectedEnd,
                         [this, sender = inAppend.sender](const store::append_result &inResult) {
                             if (inResult.outcome == store::append_result::status::moved)
-                                mFleet.hurry();
+                                mFleet.readSoon();
                             mRegistry.post(sender, fleet_append_ended{inResult});
                         });
     }
 
     void watchStore()
     {
-        const bool away = mEndpoints.isLoaded() && mEndpoints.isAway(core::boot_clock::now());
+        const bool away
+            = mEndpoints.isLoaded() && mEndpoints.isUnavailable(core::boot_clock::now());
         if (away == mAway)
             return;
         mAway = away;
--- a/corneltally/store/topic_follower.h
+++ b/corneltally/store/topic_follower.h
@@ -25,10 +25,10 @@
     /// Pause between two reads.
     core::duration pause{};
     /// Pause after a failed read, doubled with each further failure.
-    core::duration firstRetry = std::chrono::milliseconds(100);
-    core::duration lastRetry = std::chrono::milliseconds(800);
+    core::duration minRetryPause = std::chrono::milliseconds(100);
+    core::duration maxRetryPause = std::chrono::milliseconds(800);
     /// Own reads begin this long after the last records that another instance passed on.
-    core::duration relayPatience = std::chrono::milliseconds(1300);
+    core::duration relayTimeout = std::chrono::milliseconds(1300);
 };
 
 /// Records of a topic as they arrive.
@@ -64,27 +64,27 @@
         , mTopic(std::move(inTopic))
         , mSettings(inSettings)
         , mHandler(std::move(inHandler))
-        , mTimer(inLoop, [this] { next(); })
+        , mTimer(inLoop, [this] { readNext(); })
     { }
 
-    void start() { next(); }
+    void start() { readNext(); }
 
     /// Whether the newest records were read once.
     bool isLoaded() const { return mLoaded; }
     /// When the last successful read was started.
     core::time_point confirmedAt() const { return mConfirmedAt; }
     std::uint64_t end() const { return mOffset; }
-    bool isAway(core::time_point inNow) const { return inNow - mConfirmedAt > sOutageTime; }
+    bool isUnavailable(core::time_point inNow) const { return inNow - mConfirmedAt > sOutageTime; }
 
     /// Gives up the read that is under way and starts another one.
     void restart()
     {
         if (!mTimer.isPending())
-            next();
+            readNext();
     }
 
     /// Reads again soon, for example because an append failed on an old offset.
-    void hurry()
+    void readSoon()
     {
         if (mTimer.isPending())
             schedule(core::duration::zero());
@@ -100,7 +100,7 @@
     }
 
     /// Reads what there is without waiting at the store, so that the state is known as of now.
-    void look()
+    void readNow()
     {
         if (mLoaded)
             read(core::duration::zero());
@@ -112,22 +112,22 @@
     {
         if (!mLoaded || inUpdate.from > mOffset || inUpdate.end < mOffset)
             return false;
-        std::vector<record> fresh;
-        std::ranges::copy_if(inUpdate.records, std::back_inserter(fresh),
+        std::vector<record> newRecords;
+        std::ranges::copy_if(inUpdate.records, std::back_inserter(newRecords),
                              [this](const record &inRecord) { return inRecord.offset >= mOffset; });
         const std::uint64_t from = mOffset;
         mOffset = inUpdate.end;
         // A read that is under way answers later and brings nothing new.
-        const bool reads = !mTimer.isPending();
-        deliver(std::move(fresh), false, core::boot_clock::now(), from);
+        const bool isReading = !mTimer.isPending();
+        deliver(std::move(newRecords), false, core::boot_clock::now(), from);
         mTimer.cancel();
-        if (!reads)
-            schedule(mSettings.relayPatience);
+        if (!isReading)
+            schedule(mSettings.relayTimeout);
         return true;
     }
 
 private:
-    void next()
+    void readNext()
     {
         if (mLoaded) {
             read(mSettings.wait);
@@ -135,8 +135,8 @@
         }
         const std::uint64_t number = beginRead();
         mClient.readNewest(mTopic, mAfterKey, [this, number](const read_result &inResult) {
-            if (number == mRead)
-                newestRead(inResult);
+            if (number == mReadNumber)
+                newestReceived(inResult);
         });
     }
 
@@ -144,8 +144,8 @@
     {
         const std::uint64_t number = beginRead();
         mClient.read(mTopic, mOffset, inWait, [this, number](const read_result &inResult) {
-            if (number == mRead)
-                recordsRead(inResult);
+            if (number == mReadNumber)
+                recordsReceived(inResult);
         });
     }
 
@@ -153,7 +153,7 @@
     {
         mTimer.cancel();
         mStartedAt = core::boot_clock::now();
-        return ++mRead;
+        return ++mReadNumber;
     }
 
     void schedule(core::duration inDelay)
@@ -162,69 +162,69 @@
         mTimer.startOnce(inDelay);
     }
 
-    void failed()
+    void readFailed()
     {
         core::logEvent(core::log_level::warning, "store_read_failed",
                        {{"topic", mTopic}, {"offset", mOffset}, {"loaded", mLoaded}});
         mFailed = true;
-        schedule(mRetry);
-        mRetry = std::min(mRetry * 2, mSettings.lastRetry);
+        schedule(mRetryPause);
+        mRetryPause = std::min(mRetryPause * 2, mSettings.maxRetryPause);
     }
 
-    void newestRead(const read_result &inResult)
+    void newestReceived(const read_result &inResult)
     {
         if (inResult.outcome != read_result::status::done) {
-            failed();
+            readFailed();
             return;
         }
         // The pages are no snapshot: what changes meanwhile is read again from the first one's end.
         if (mAfterKey.empty()) {
             mOffset = inResult.end;
-            mFillStartedAt = mStartedAt;
+            mSnapshotStartedAt = mStartedAt;
         }
         mPages.insert(mPages.end(), inResult.records.begin(), inResult.records.end());
         if (inResult.more && !inResult.records.empty()) {
             mAfterKey = inResult.records.back().key;
-            next();
+            readNext();
             return;
         }
         mAfterKey.clear();
         mLoaded = true;
-        deliver(std::exchange(mPages, {}), true, mFillStartedAt, 0);
+        deliver(std::exchange(mPages, {}), true, mSnapshotStartedAt, 0);
         schedule(mSettings.pause);
     }
 
-    void recordsRead(const read_result &inResult)
+    void recordsReceived(const read_result &inResult)
     {
         if (inResult.outcome == read_result::status::expired) {
             mLoaded = false;
-            next();
+            readNext();
             return;
         }
         if (inResult.outcome != read_result::status::done) {
-            failed();
+            readFailed();
             return;
         }
         const std::uint64_t from = mOffset;
-        std::vector<record> fresh;
-        std::ranges::copy_if(inResult.records, std::back_inserter(fresh),
+        std::vector<record> newRecords;
+        std::ranges::copy_if(inResult.records, std::back_inserter(newRecords),
                              [this](const record &inRecord) { return inRecord.offset >= mOffset; });
-        if (!fresh.empty())
-            mOffset = fresh.back().offset + 1;
-        deliver(std::move(fresh), false, mStartedAt, from);
+        if (!newRecords.empty())
+            mOffset = newRecords.back().offset + 1;
+        deliver(std::move(newRecords), false, mStartedAt, from);
         schedule(mSettings.pause);
     }
 
-    void deliver(std::vector<record> inRecords, bool inComplete, core::time_point inAsOf,
+    void deliver(std::vector<record> inRecords, bool inComplete, core::time_point inStartedAt,
                  std::uint64_t inFrom)
     {
         const bool afterOutage
-            = mConfirmedAt != core::time_point() && inAsOf - mConfirmedAt > sOutageTime;
+            = mConfirmedAt != core::time_point() && inStartedAt - mConfirmedAt > sOutageTime;
         const bool afterFailure = std::exchange(mFailed, false);
-        mConfirmedAt = inAsOf;
-        mRetry = mSettings.firstRetry;
-        mHandler(
-            {std::move(inRecords), inComplete, inAsOf, afterFailure, afterOutage, inFrom, mOffset});
+        mConfirmedAt = inStartedAt;
+        mRetryPause = mSettings.minRetryPause;
+        mHandler({std::move(inRecords), inComplete, inStartedAt, afterFailure, afterOutage, inFrom,
+                  mOffset});
     }
 
     Client &mClient;
@@ -232,16 +232,16 @@
     follow_settings mSettings;
     update_handler mHandler;
     kernel::timer mTimer;
-    core::duration mRetry = mSettings.firstRetry;
+    core::duration mRetryPause = mSettings.minRetryPause;
     bool mLoaded = false;
     bool mFailed = false;
     /// Number of the last read; answers to earlier ones are dropped.
-    std::uint64_t mRead = 0;
+    std::uint64_t mReadNumber = 0;
     std::uint64_t mOffset = 0;
     std::string mAfterKey;
     std::vector<record> mPages;
     core::time_point mStartedAt;
-    core::time_point mFillStartedAt;
+    core::time_point mSnapshotStartedAt;
     core::time_point mConfirmedAt;
 };
 
