--- a/corneltally/catalog/catalog_service.h
+++ b/corneltally/catalog/catalog_service.h
@@ -239,7 +239,7 @@
         mMetrics.count("store_appends_total");
         mClient->append(mSettings.fleetTopic, inAppend.records, inAppend.expectedEnd,
                         [this, sender = inAppend.sender](const store::append_result &inResult) {
-                            if (inResult.outcome == store::append_result::status::moved)
+                            if (inResult.outcome == store::append_result::status::conflict)
                                 mFleet.readSoon();
                             mRegistry.post(sender, fleet_append_ended{inResult});
                         });
--- a/corneltally/forwarding/forwarded_request.cpp
+++ b/corneltally/forwarding/forwarded_request.cpp
@@ -295,7 +295,7 @@
     mContext.pool.give(std::move(mUpstream));
     const bool encoded = http1::findField(mHead.fields, "Content-Encoding").has_value();
     if (mAnswer.notExecuted)
-        attemptEnded(attempt_result::refused, mAnswer.otherEndpoint ? "misdirected" : "shed");
+        attemptEnded(attempt_result::refused, mAnswer.misdirected ? "misdirected" : "shed");
     else if (mAnswer.status / 100 == 2 && mAnswer.sealed && !encoded)
         answerComplete();
     else if (mAnswer.status / 100 == 2 || !mAnswer.sealed)
@@ -346,7 +346,7 @@
     }
     if (loading && isSameStart && retryWhenLoaded(inReason))
         return;
-    if (mAnswer.otherEndpoint && inResult == attempt_result::refused && isSameStart
+    if (mAnswer.misdirected && inResult == attempt_result::refused && isSameStart
         && mWork.adapter.empty())
         target->notBefore = now + cMisdirectedPause;
     mWork.excluded.insert(mChoice.endpoint);
--- a/corneltally/forwarding/forwarded_request_adapter.cpp
+++ b/corneltally/forwarding/forwarded_request_adapter.cpp
@@ -163,7 +163,7 @@
     const core::time_point now = core::boot_clock::now();
     engines::endpoint &target = *mContext.book.find(mChoice.endpoint);
     const std::string key = engines::adapterKey(mWork.model, mWork.adapter);
-    const bool lost = mAnswer.otherEndpoint;
+    const bool lost = mAnswer.misdirected;
     const bool young = mChoice.state != engines::endpoint_choice::readiness::ready
         && now - mChoice.readyAt < cLoadTolerance;
     if (!lost && !young && mLoadRetries == 0 && !target.adapters.arriving.contains(key))
--- a/corneltally/routing/request_terms.h
+++ b/corneltally/routing/request_terms.h
@@ -48,7 +48,7 @@
     /// The endpoint states that it did not run the request.
     bool notExecuted = false;
     /// The answer comes from another endpoint that now uses the address.
-    bool otherEndpoint = false;
+    bool misdirected = false;
     /// The answer carries the endpoint's seal.
     bool sealed = false;
 
--- a/corneltally/store/record.h
+++ b/corneltally/store/record.h
@@ -34,7 +34,7 @@
     /// Offset after the last record of the topic.
     std::uint64_t end = 0;
     /// Whether there are more keys after the last one; used only for reads of newest records.
-    bool more = false;
+    bool hasMore = false;
 
     friend auto operator<=>(const read_result &, const read_result &) = default;
 };
@@ -45,7 +45,7 @@
     enum class status {
         accepted,
         /// The topic does not end at the expected offset.
-        moved,
+        conflict,
         /// The store rejected the append; nothing was appended.
         refused,
         /// The store did not answer; the records may have been or may still be appended.
--- a/corneltally/store/topic_follower.h
+++ b/corneltally/store/topic_follower.h
@@ -184,7 +184,7 @@
             mSnapshotStartedAt = mStartedAt;
         }
         mPages.insert(mPages.end(), inResult.records.begin(), inResult.records.end());
-        if (inResult.more && !inResult.records.empty()) {
+        if (inResult.hasMore && !inResult.records.empty()) {
             mAfterKey = inResult.records.back().key;
             readNext();
             return;
--- a/tests/unit/catalog_service_test.cpp
+++ b/tests/unit/catalog_service_test.cpp
@@ -74,7 +74,7 @@
                 std::optional<std::uint64_t> inExpectedEnd,
                 std::function<void(const store::append_result &)> inHandler)
     {
-        store::append_result result{.outcome = store::append_result::status::moved};
+        store::append_result result{.outcome = store::append_result::status::conflict};
         if (!inExpectedEnd || *inExpectedEnd == topics[inTopic].end) {
             result = {store::append_result::status::accepted, topics[inTopic].end};
             for (const store::record &record : inRecords)
@@ -94,7 +94,7 @@
     void compact(const std::string &inTopic) { topics[inTopic].first = topics[inTopic].end; }
 
     std::map<std::string, topic> topics;
-    bool away = false;
+    bool unavailable = false;
     std::set<std::string> silentTopics;
     int newestReads = 0;
     /// Wait times of the received reads by topic.
@@ -103,7 +103,8 @@
 private:
     store::read_result::status status() const
     {
-        return away ? store::read_result::status::unavailable : store::read_result::status::done;
+        return unavailable ? store::read_result::status::unavailable
+                           : store::read_result::status::done;
     }
 
     void answer(read_handler inHandler, store::read_result inResult)
@@ -222,9 +223,9 @@
     fixture.run(50ms);
     fixture.store->silentTopics = {platform::cOperatorTopic};
     fixture.run(50ms);
-    fixture.store->away = true;
+    fixture.store->unavailable = true;
     fixture.run(300ms);
-    fixture.store->away = false;
+    fixture.store->unavailable = false;
     fixture.store->put(platform::cOperatorTopic, "config", configuration(8));
     fixture.run(1s);
     CHECK(fixture.versions.back() == 8);
@@ -242,10 +243,10 @@
     fixture.run(100ms);
     CHECK(fixture.events
           == std::vector<std::string>{"ready e1", "ready e2", "leaving e1", "removed e1"});
-    fixture.store->away = true;
+    fixture.store->unavailable = true;
     fixture.run(2500ms);
     fixture.store->put(platform::cEndpointTopic, "e2", std::nullopt);
-    fixture.store->away = false;
+    fixture.store->unavailable = false;
     fixture.run(1200ms);
     CHECK(fixture.events.back() == "lapsed e2");
 }
@@ -258,7 +259,7 @@
     fixture.run(100ms);
     const std::uint64_t end = fixture.store->topics[platform::cEndpointTopic].end;
     // The store no longer serves this instance.
-    fixture.store->away = true;
+    fixture.store->unavailable = true;
     fixture.registry.post("catalog",
                           catalog::endpoint_records_received{
                               {.records = {{"e2", entry(), end}}, .from = end, .end = end + 1}});
--- a/tests/unit/platform_codec_test.cpp
+++ b/tests/unit/platform_codec_test.cpp
@@ -200,7 +200,7 @@
     };
     CHECK(answer(503, {{"X-Corneltally-Not-Executed", "1"}}).notExecuted);
     CHECK_FALSE(answer(503, {}).notExecuted);
-    CHECK(answer(421, {}).otherEndpoint);
+    CHECK(answer(421, {}).misdirected);
     CHECK(answer(200, {{"X-Corneltally-Server-Seal", "s"}}).sealed);
     CHECK_FALSE(answer(200, {{"X-Corneltally-Server-Seal", ""}}).sealed);
     CHECK(platform::answersRequest({.fields = {{"X-Corneltally-Request-Id", "a"}}}, "a"));
