--- a/corneltally/forwarding/forwarded_request.cpp
+++ b/corneltally/forwarding/forwarded_request.cpp
@@ -119,7 +119,7 @@
                    std::max<core::duration>(wait, mContext.settings.minRetryAfter));
             return false;
         }
-        mCharged = amount;
+        mChargedAmount = amount;
     }
     mContext.retries.arrived(mService->name, now);
     mWork.service = mService->name;
@@ -187,7 +187,7 @@
     engines::endpoint &target = *mContext.book.find(mChoice.endpoint);
     mState = state::sent;
     mSentAt = now;
-    ++mSends;
+    ++mSendCount;
     mUsedEndpoints.insert(mChoice.endpoint);
     mHeadReceived = false;
     mBuffersAnswer = false;
@@ -328,9 +328,9 @@
                     {"ms", inMs(now - mSentAt)}});
     mContext.metrics.count("attempts_failed_total{reason=\"" + std::string(inReason) + "\"}");
     mFailureAnswerStored = inResult == attempt_result::failure_answered;
-    const bool loading = inResult == attempt_result::refused && !mWork.adapter.empty();
+    const bool adapterRefused = inResult == attempt_result::refused && !mWork.adapter.empty();
     if (isSameStart) {
-        if (loading || inResult == attempt_result::refused)
+        if (adapterRefused || inResult == attempt_result::refused)
             target->health.abandoned();
         else
             target->health.failed(now);
@@ -341,10 +341,10 @@
     }
     uncountLoad();
     if (inResult == attempt_result::not_sent) {
-        --mSends;
+        --mSendCount;
         mUsedEndpoints.erase(mChoice.endpoint);
     }
-    if (loading && isSameStart && retryWhenLoaded(inReason))
+    if (adapterRefused && isSameStart && retryWhenLoaded(inReason))
         return;
     if (mAnswer.misdirected && inResult == attempt_result::refused && isSameStart
         && mWork.adapter.empty())
--- a/corneltally/forwarding/forwarded_request.h
+++ b/corneltally/forwarding/forwarded_request.h
@@ -120,7 +120,7 @@
     state mState = state::received;
     run_state mRunState = run_state::not_run;
     std::set<std::string> mUsedEndpoints;
-    int mSends = 0;
+    int mSendCount = 0;
     int mLoadRetries = 0;
     int mLoadsRequested = 0;
     routing::answer_terms mAnswer;
@@ -129,7 +129,7 @@
     bool mFailureAnswerStored = false;
     bool mAnswerStarted = false;
     bool mBuffersAnswer = false;
-    double mCharged = 0;
+    double mChargedAmount = 0;
     bool mWaitingCounted = false;
     bool mLoadCounted = false;
     bool mPromptCounted = false;
--- a/corneltally/forwarding/forwarded_request_adapter.cpp
+++ b/corneltally/forwarding/forwarded_request_adapter.cpp
@@ -164,9 +164,9 @@
     engines::endpoint &target = *mContext.book.find(mChoice.endpoint);
     const std::string key = engines::adapterKey(mWork.model, mWork.adapter);
     const bool lost = mAnswer.misdirected;
-    const bool young = mChoice.state != engines::endpoint_choice::readiness::ready
+    const bool loadMayBeLate = mChoice.state != engines::endpoint_choice::readiness::ready
         && now - mChoice.readyAt < cLoadTolerance;
-    if (!lost && !young && mLoadRetries == 0 && !target.adapters.arriving.contains(key))
+    if (!lost && !loadMayBeLate && mLoadRetries == 0 && !target.adapters.arriving.contains(key))
         return false;
     if (mLoadRetries >= mContext.settings.maxLoadRetries || timeLeft() < cMinAttemptTime
         || !mContext.retries.tryRepeat(mService->name, now))
--- a/corneltally/forwarding/forwarded_request_answer.cpp
+++ b/corneltally/forwarding/forwarded_request_answer.cpp
@@ -102,7 +102,7 @@
         const auto last = eventNumber(mLastEventId);
         const auto number = eventNumber(event.id);
         // A resumed stream must not repeat events that the caller already has.
-        if (mSends > 1 && last && number && *number <= *last)
+        if (mSendCount > 1 && last && number && *number <= *last)
             continue;
         if (!event.id.empty())
             mLastEventId = event.id;
@@ -156,7 +156,7 @@
 /// the request was sent more than once, the pause is not attributable to one endpoint.
 void forwarded_request::recordPause(const engines::endpoint &inTarget)
 {
-    if (mSends > 1 || mLongestPause < engines::endpoint_book::sReadingPause)
+    if (mSendCount > 1 || mLongestPause < engines::endpoint_book::sReadingPause)
         return;
     mContext.book.notePause(inTarget.digest, mLongestPause);
     mContext.pauses.push_back(
@@ -201,8 +201,8 @@
         abortAnswer(inReason);
         return;
     }
-    if (mCharged > 0 && mRunState == run_state::not_run)
-        mContext.allowance.giveBack(mAccount, mCharged);
+    if (mChargedAmount > 0 && mRunState == run_state::not_run)
+        mContext.allowance.giveBack(mAccount, mChargedAmount);
     mState = state::done;
     std::optional<milliseconds> wait;
     if (inRetryAfter)
@@ -250,7 +250,7 @@
                     {"configuration", mTable ? mTable->version() : 0},
                     {"endpoint", mChoice.endpoint},
                     {"adapter", mWork.adapter},
-                    {"sends", mSends},
+                    {"sends", mSendCount},
                     {"loads", mLoadsRequested},
                     {"status", inStatus},
                     {"outcome", inOutcome},
@@ -261,7 +261,7 @@
                      target != nullptr && target->holderReportAt != core::time_point()
                          ? inMs(now - target->holderReportAt)
                          : -1},
-                    {"sent_ms", mSends > 0 ? inMs(mSentAt - mRequest.arrived) : -1},
+                    {"sent_ms", mSendCount > 0 ? inMs(mSentAt - mRequest.arrived) : -1},
                     {"adapter_state", toString(mChoice.state)},
                     {"longest_pause_ms", inMs(mLongestPause)},
                     {"first_ms", mFirstByteAt ? inMs(*mFirstByteAt - mRequest.arrived) : -1},
