--- a/corneltally/catalog/catalog_messages.h
+++ b/corneltally/catalog/catalog_messages.h
@@ -58,14 +58,14 @@
 };
 
 /// Another instance lacks the operator records from an offset on.
-struct operator_records_wanted
+struct operator_records_requested
 {
     std::string instance;
     std::uint64_t from = 0;
 };
 
 /// Asks to relay an operator record to another instance.
-struct operator_record_passed
+struct operator_record_relay
 {
     std::string instance;
     store::record record;
@@ -86,7 +86,7 @@
 
 /// Endpoint records that this instance has read and relays, or that another one has relayed.
 /// Records whose value has not changed are omitted.
-struct endpoint_records_passed
+struct endpoint_records_relay
 {
     store::topic_update update;
 };
@@ -102,15 +102,15 @@
 };
 
 /// Ask to read the fleet topic now, or to change how long its reads wait at the store.
-struct fleet_look
+struct fleet_topic_poll
 { };
-struct fleet_wait_changed
+struct fleet_topic_wait_changed
 {
     core::duration wait{};
 };
 
 /// Asks to append records to the fleet topic.
-struct fleet_append
+struct fleet_topic_append
 {
     /// Service that receives the result.
     std::string sender;
@@ -118,7 +118,7 @@
     std::optional<std::uint64_t> expectedEnd;
 };
 
-struct fleet_append_ended
+struct fleet_topic_append_ended
 {
     store::append_result result;
 };
--- a/corneltally/catalog/catalog_service.h
+++ b/corneltally/catalog/catalog_service.h
@@ -66,11 +66,13 @@
                  })
         , mCheckTimer(ioRegistry.loop(), [this] { checkStore(); })
     {
-        mRegistry.handle<fleet_append>(cName,
-                                       [this](const fleet_append &inAppend) { append(inAppend); });
-        mRegistry.handle<fleet_look>(cName, [this](const fleet_look &) { mFleet.readNow(); });
-        mRegistry.handle<fleet_wait_changed>(
-            cName, [this](const fleet_wait_changed &inChanged) { mFleet.setWait(inChanged.wait); });
+        mRegistry.handle<fleet_topic_append>(
+            cName, [this](const fleet_topic_append &inAppend) { append(inAppend); });
+        mRegistry.handle<fleet_topic_poll>(cName,
+                                           [this](const fleet_topic_poll &) { mFleet.poll(); });
+        mRegistry.handle<fleet_topic_wait_changed>(
+            cName,
+            [this](const fleet_topic_wait_changed &inChanged) { mFleet.setWait(inChanged.wait); });
         mRegistry.handle<operator_record_received>(
             cName, [this](const operator_record_received &inReceived) {
                 applyOperatorRecord(inReceived.record, "instance");
@@ -83,9 +85,10 @@
                 if (!mIsReader && !mEndpoints.acceptRelayed(inReceived.update))
                     mMetrics.count("relayed_records_refused_total");
             });
-        mRegistry.handle<operator_records_wanted>(
-            cName,
-            [this](const operator_records_wanted &inWanted) { relayOperatorRecords(inWanted); });
+        mRegistry.handle<operator_records_requested>(
+            cName, [this](const operator_records_requested &inRequested) {
+                relayOperatorRecords(inRequested);
+            });
     }
 
     static constexpr std::string_view cName = "catalog";
@@ -160,11 +163,11 @@
         return true;
     }
 
-    void relayOperatorRecords(const operator_records_wanted &inWanted)
+    void relayOperatorRecords(const operator_records_requested &inRequested)
     {
         for (const auto &[key, record] : mOperatorRecords) {
-            if (record.offset >= inWanted.from)
-                mRegistry.broadcast(operator_record_passed{inWanted.instance, record});
+            if (record.offset >= inRequested.from)
+                mRegistry.broadcast(operator_record_relay{inRequested.instance, record});
         }
     }
 
@@ -196,7 +199,7 @@
         }
         if (!inUpdate.complete) {
             if (mIsReader)
-                mRegistry.broadcast(endpoint_records_passed{std::move(changes)});
+                mRegistry.broadcast(endpoint_records_relay{std::move(changes)});
             return;
         }
         std::erase_if(mEntryValues, [&](const auto &inEntry) {
@@ -234,14 +237,14 @@
         mRegistry.broadcast(endpoint_removed{inRecord.key, false});
     }
 
-    void append(const fleet_append &inAppend)
+    void append(const fleet_topic_append &inAppend)
     {
         mMetrics.count("store_appends_total");
         mClient->append(mSettings.fleetTopic, inAppend.records, inAppend.expectedEnd,
                         [this, sender = inAppend.sender](const store::append_result &inResult) {
                             if (inResult.outcome == store::append_result::status::conflict)
                                 mFleet.readSoon();
-                            mRegistry.post(sender, fleet_append_ended{inResult});
+                            mRegistry.post(sender, fleet_topic_append_ended{inResult});
                         });
     }
 
--- a/corneltally/fleet/mesh_service.cpp
+++ b/corneltally/fleet/mesh_service.cpp
@@ -45,8 +45,8 @@
 {
     mRegistry.handle<catalog::fleet_topic_updated>(
         cName, [this](const catalog::fleet_topic_updated &inUpdate) { topicUpdated(inUpdate); });
-    mRegistry.handle<catalog::fleet_append_ended>(
-        cName, [this](const catalog::fleet_append_ended &inEnded) {
+    mRegistry.handle<catalog::fleet_topic_append_ended>(
+        cName, [this](const catalog::fleet_topic_append_ended &inEnded) {
             mAppendPending = false;
             if (inEnded.result.outcome != store::append_result::status::accepted)
                 core::logEvent(core::log_level::warning, "instance_record_not_written",
@@ -55,16 +55,15 @@
     mRegistry.handle<catalog::operator_end_changed>(
         cName,
         [this](const catalog::operator_end_changed &inChanged) { mOperatorEnd = inChanged.end; });
-    mRegistry.handle<catalog::operator_record_passed>(
-        cName, [this](const catalog::operator_record_passed &inPassed) {
-            send({inPassed.instance,
-                  operator_record{inPassed.record.key, inPassed.record.offset,
-                                  inPassed.record.value}});
-        });
-    mRegistry.handle<catalog::endpoint_records_passed>(
-        cName, [this](const catalog::endpoint_records_passed &inPassed) {
-            relayRecords(inPassed.update);
+    mRegistry.handle<catalog::operator_record_relay>(
+        cName, [this](const catalog::operator_record_relay &inRelay) {
+            send(
+                {inRelay.instance,
+                 operator_record{inRelay.record.key, inRelay.record.offset, inRelay.record.value}});
         });
+    mRegistry.handle<catalog::endpoint_records_relay>(
+        cName,
+        [this](const catalog::endpoint_records_relay &inRelay) { relayRecords(inRelay.update); });
     mRegistry.handle<mesh_send>(cName, [this](const mesh_send &inSend) { send(inSend); });
     mRegistry.handle<heartbeat_part>(
         cName, [this](const heartbeat_part &inPart) { sendHeartbeats(inPart); });
@@ -132,9 +131,9 @@
     if (mSelfRecorded || mAppendPending || !mTopicLoaded)
         return;
     mAppendPending = true;
-    mRegistry.post(
-        "catalog",
-        catalog::fleet_append{std::string(cName), {memberRecord(mOptions.self)}, std::nullopt});
+    mRegistry.post("catalog",
+                   catalog::fleet_topic_append{
+                       std::string(cName), {memberRecord(mOptions.self)}, std::nullopt});
 }
 
 void mesh_service::updateMember(const member &inMember, bool inRecorded)
@@ -182,7 +181,7 @@
         mAppendPending = true;
         mRegistry.post(
             "catalog",
-            catalog::fleet_append{std::string(cName), {removedMember(name)}, std::nullopt});
+            catalog::fleet_topic_append{std::string(cName), {removedMember(name)}, std::nullopt});
         return;
     }
 }
@@ -258,7 +257,7 @@
     }
     if (inHeartbeat.operatorEnd < mOperatorEnd)
         mRegistry.post("catalog",
-                       catalog::operator_records_wanted{inInstance, inHeartbeat.operatorEnd});
+                       catalog::operator_records_requested{inInstance, inHeartbeat.operatorEnd});
 }
 
 void mesh_service::openLink(outgoing &ioLink, const std::string &inAddress,
--- a/corneltally/orders/order_service.cpp
+++ b/corneltally/orders/order_service.cpp
@@ -80,8 +80,8 @@
 {
     mRegistry.handle<catalog::fleet_topic_updated>(
         cName, [this](const catalog::fleet_topic_updated &inUpdate) { topicUpdated(inUpdate); });
-    mRegistry.handle<catalog::fleet_append_ended>(
-        cName, [this](const catalog::fleet_append_ended &) { mAppendUnderWay = false; });
+    mRegistry.handle<catalog::fleet_topic_append_ended>(
+        cName, [this](const catalog::fleet_topic_append_ended &) { mAppendUnderWay = false; });
     mRegistry.handle<catalog::configuration_changed>(
         cName, [this](const catalog::configuration_changed &inChanged) {
             mTable = inChanged.table;
@@ -151,7 +151,7 @@
 {
     // What the claims said before the pause is outdated; the next read confirms them anew.
     mClaims.invalidateRead();
-    mRegistry.post("catalog", catalog::fleet_look{});
+    mRegistry.post("catalog", catalog::fleet_topic_poll{});
     for (auto &[engine, state] : mHeld)
         publish(engine, state, core::boot_clock::now());
 }
@@ -258,7 +258,7 @@
     if (isCalm == mCalm)
         return;
     mCalm = isCalm;
-    mRegistry.post("catalog", catalog::fleet_wait_changed{isCalm ? cCalmWait : cShortWait});
+    mRegistry.post("catalog", catalog::fleet_topic_wait_changed{isCalm ? cCalmWait : cShortWait});
 }
 
 /// Delay of this instance's claims behind those of others of its failure domain.
@@ -292,7 +292,7 @@
     if (!mClaims.hasFreshRead(inNow)) {
         if (inNow - mLookAskedAt >= cLookTime) {
             mLookAskedAt = inNow;
-            mRegistry.post("catalog", catalog::fleet_look{});
+            mRegistry.post("catalog", catalog::fleet_topic_poll{});
         }
         return;
     }
@@ -300,7 +300,7 @@
     mClaimNotBefore = inNow + cClaimPause;
     core::logEvent(core::log_level::info, "claim_appended",
                    {{"records", records.size()}, {"expected_end", mTopicEnd}});
-    mRegistry.post("catalog", catalog::fleet_append{std::string(cName), records, mTopicEnd});
+    mRegistry.post("catalog", catalog::fleet_topic_append{std::string(cName), records, mTopicEnd});
 }
 
 void order_service::wanted(const fleet::load_wanted &inWanted, std::string_view inFrom)
--- a/corneltally/store/topic_follower.h
+++ b/corneltally/store/topic_follower.h
@@ -100,7 +100,7 @@
     }
 
     /// Reads without waiting at the store, to confirm the current state of the topic.
-    void readNow()
+    void poll()
     {
         if (mLoaded)
             read(core::duration::zero());
--- a/tests/unit/catalog_service_test.cpp
+++ b/tests/unit/catalog_service_test.cpp
@@ -294,13 +294,13 @@
     auto &waits = fixture.store->waits["keyed.fleet"];
     fixture.store->silentTopics = {"keyed.fleet"};
     fixture.run(400ms);
-    fixture.registry.post("catalog", catalog::fleet_look{});
+    fixture.registry.post("catalog", catalog::fleet_topic_poll{});
     fixture.run(20ms);
     CHECK(std::ranges::find(waits, core::duration(0ms)) != waits.end());
     fixture.run(400ms);
     fixture.store->silentTopics = {"keyed.fleet"};
     fixture.run(400ms);
-    fixture.registry.post("catalog", catalog::fleet_wait_changed{7s});
+    fixture.registry.post("catalog", catalog::fleet_topic_wait_changed{7s});
     fixture.run(20ms);
     CHECK(std::ranges::find(waits, core::duration(7s)) != waits.end());
 }
