--- a/corneltally/catalog/catalog_service.h
+++ b/corneltally/catalog/catalog_service.h
@@ -21,7 +21,7 @@
 namespace corneltally::catalog {
 
 /// Topics of the store and the timing of their reads.
-struct catalog_settings
+struct catalog_options
 {
     std::string operatorTopic;
     std::string endpointTopic;
@@ -48,19 +48,19 @@
 {
 public:
     catalog_service(kernel::service_registry &ioRegistry, core::metrics &ioMetrics,
-                    std::unique_ptr<Client> inClient, const catalog_settings &inSettings)
+                    std::unique_ptr<Client> inClient, const catalog_options &inOptions)
         : mRegistry(ioRegistry)
         , mMetrics(ioMetrics)
         , mClient(std::move(inClient))
-        , mSettings(inSettings)
-        , mOperator(ioRegistry.loop(), *mClient, inSettings.operatorTopic,
-                    {.wait = inSettings.operatorWait},
+        , mOptions(inOptions)
+        , mOperator(ioRegistry.loop(), *mClient, inOptions.operatorTopic,
+                    {.wait = inOptions.operatorWait},
                     [this](const store::topic_update &inUpdate) { operatorUpdated(inUpdate); })
-        , mEndpoints(ioRegistry.loop(), *mClient, inSettings.endpointTopic,
-                     {.pause = inSettings.endpointPause},
+        , mEndpoints(ioRegistry.loop(), *mClient, inOptions.endpointTopic,
+                     {.pause = inOptions.endpointPause},
                      [this](const store::topic_update &inUpdate) { endpointsUpdated(inUpdate); })
-        , mFleet(ioRegistry.loop(), *mClient, inSettings.fleetTopic,
-                 {.wait = inSettings.fleetWait, .pause = inSettings.fleetPause},
+        , mFleet(ioRegistry.loop(), *mClient, inOptions.fleetTopic,
+                 {.wait = inOptions.fleetWait, .pause = inOptions.fleetPause},
                  [this](const store::topic_update &inUpdate) {
                      mRegistry.broadcast(fleet_topic_updated{inUpdate});
                  })
@@ -240,7 +240,7 @@
     void append(const fleet_topic_append &inAppend)
     {
         mMetrics.count("store_appends_total");
-        mClient->append(mSettings.fleetTopic, inAppend.records, inAppend.expectedEnd,
+        mClient->append(mOptions.fleetTopic, inAppend.records, inAppend.expectedEnd,
                         [this, sender = inAppend.sender](const store::append_result &inResult) {
                             if (inResult.outcome == store::append_result::status::conflict)
                                 mFleet.readSoon();
@@ -267,7 +267,7 @@
     kernel::service_registry &mRegistry;
     core::metrics &mMetrics;
     std::unique_ptr<Client> mClient;
-    catalog_settings mSettings;
+    catalog_options mOptions;
     store::topic_follower<Client> mOperator;
     store::topic_follower<Client> mEndpoints;
     store::topic_follower<Client> mFleet;
--- a/corneltally/fleet/holder_claims.cpp
+++ b/corneltally/fleet/holder_claims.cpp
@@ -25,7 +25,7 @@
             next.notBefore = before.notBefore;
         else
             next.notBefore
-                = inNow + mSettings.maxReadAge + mSettings.handoverPause + mSettings.handoverMargin;
+                = inNow + mOptions.maxReadAge + mOptions.handoverPause + mOptions.handoverMargin;
     }
     mEngines.insert_or_assign(inEngine, next);
 }
@@ -59,9 +59,9 @@
 bool holder_claims::isReadValid(core::time_point inNow) const
 {
     const core::duration age = inNow - mConfirmedAt;
-    if (age < mSettings.maxReadAge)
+    if (age < mOptions.maxReadAge)
         return true;
-    return age < mSettings.maxReadAgeWhenHeard && isHeardByAll(mSettings.maxHeardAge, inNow);
+    return age < mOptions.maxReadAgeWhenHeard && isHeardByAll(mOptions.maxHeardAge, inNow);
 }
 
 bool holder_claims::isHeardByAll(core::duration inAge, core::time_point inNow) const
@@ -127,11 +127,10 @@
             claims.push_back(engine.name);
             continue;
         }
-        const bool isFree = holder == nullptr
-            ? inNow - *mFirstConfirmed >= mSettings.firstClaimDelay
-            : mRecordedAt
+        const bool isFree = holder == nullptr ? inNow - *mFirstConfirmed >= mOptions.firstClaimDelay
+                                              : mRecordedAt
                 && inNow - std::max(*mRecordedAt, lastHeard(holder->instance))
-                    >= mSettings.silenceTimeout;
+                    >= mOptions.silenceTimeout;
         if (isFree && isPreferred(engine, inLiveInstances))
             claims.push_back(engine.name);
     }
--- a/corneltally/fleet/holder_claims.h
+++ b/corneltally/fleet/holder_claims.h
@@ -14,7 +14,7 @@
 namespace corneltally::fleet {
 
 /// Time limits of claims on engines.
-struct claim_settings
+struct claim_options
 {
     /// A holder gives orders only if its last read of the claims is more recent than this.
     core::duration maxReadAge = std::chrono::milliseconds(4000);
@@ -70,13 +70,13 @@
 class holder_claims
 {
 public:
-    holder_claims(claim_settings inSettings, claim inSelf, std::string inFailureDomain)
-        : mSettings(inSettings)
+    holder_claims(claim_options inOptions, claim inSelf, std::string inFailureDomain)
+        : mOptions(inOptions)
         , mSelf(std::move(inSelf))
         , mFailureDomain(std::move(inFailureDomain))
     { }
 
-    void setSettings(claim_settings inSettings) { mSettings = inSettings; }
+    void setOptions(claim_options inOptions) { mOptions = inOptions; }
 
     /// Applies a claim read from the store. Without a claim the engine is free.
     void applyClaim(const std::string &inEngine, std::optional<claim> inClaim,
@@ -116,7 +116,7 @@
     /// Whether the last read of the claims is recent enough to append a claim.
     bool hasFreshRead(core::time_point inNow) const
     {
-        return inNow - mConfirmedAt < mSettings.maxReadAgeForClaim;
+        return inNow - mConfirmedAt < mOptions.maxReadAgeForClaim;
     }
 
     /// Sets all other instances that may exist.
@@ -145,7 +145,7 @@
     core::time_point lastHeard(const std::string &inInstance) const;
     bool isReadValid(core::time_point inNow) const;
 
-    claim_settings mSettings;
+    claim_options mOptions;
     claim mSelf;
     std::string mFailureDomain;
     std::map<std::string, held_engine, std::less<>> mEngines;
--- a/corneltally/forwarding/instance.cpp
+++ b/corneltally/forwarding/instance.cpp
@@ -92,9 +92,9 @@
         mRegistry.add(std::make_unique<catalog::catalog_service<platform::store_client>>(
             mRegistry, mMetrics,
             std::make_unique<platform::store_client>(mLoop, addressOf(inSettings.storeAddress)),
-            catalog::catalog_settings{.operatorTopic = platform::cOperatorTopic,
-                                      .endpointTopic = platform::cEndpointTopic,
-                                      .fleetTopic = fleet::cFleetTopic}));
+            catalog::catalog_options{.operatorTopic = platform::cOperatorTopic,
+                                     .endpointTopic = platform::cEndpointTopic,
+                                     .fleetTopic = fleet::cFleetTopic}));
     }
 
     bool listen()
--- a/corneltally/orders/order_service.h
+++ b/corneltally/orders/order_service.h
@@ -31,7 +31,7 @@
     /// This instance; the fence is set with each claim.
     fleet::claim self;
     std::string failureDomain;
-    fleet::claim_settings claims;
+    fleet::claim_options claims;
     keeper_settings keeper;
 };
 
--- a/corneltally/store/topic_follower.h
+++ b/corneltally/store/topic_follower.h
@@ -18,7 +18,7 @@
 namespace corneltally::store {
 
 /// Timing of the reads of a followed topic.
-struct follow_settings
+struct follow_options
 {
     /// Maximum time that a read waits at the store for a record.
     core::duration wait{};
@@ -59,10 +59,10 @@
     static constexpr core::duration sOutageTime = std::chrono::seconds(2);
 
     topic_follower(kernel::event_loop &inLoop, Client &ioClient, std::string inTopic,
-                   follow_settings inSettings, update_handler inHandler)
+                   follow_options inOptions, update_handler inHandler)
         : mClient(ioClient)
         , mTopic(std::move(inTopic))
-        , mSettings(inSettings)
+        , mOptions(inOptions)
         , mHandler(std::move(inHandler))
         , mTimer(inLoop, [this] { readNext(); })
     { }
@@ -93,9 +93,9 @@
     /// Changes the time that reads wait at the store, including the pending read.
     void setWait(core::duration inWait)
     {
-        if (mSettings.wait == inWait)
+        if (mOptions.wait == inWait)
             return;
-        mSettings.wait = inWait;
+        mOptions.wait = inWait;
         restart();
     }
 
@@ -122,7 +122,7 @@
         deliver(std::move(newRecords), false, core::boot_clock::now(), from);
         mTimer.cancel();
         if (!isReading)
-            schedule(mSettings.relayTimeout);
+            schedule(mOptions.relayTimeout);
         return true;
     }
 
@@ -130,7 +130,7 @@
     void readNext()
     {
         if (mLoaded) {
-            read(mSettings.wait);
+            read(mOptions.wait);
             return;
         }
         const std::uint64_t number = beginRead();
@@ -168,7 +168,7 @@
                        {{"topic", mTopic}, {"offset", mOffset}, {"loaded", mLoaded}});
         mFailed = true;
         schedule(mRetryPause);
-        mRetryPause = std::min(mRetryPause * 2, mSettings.maxRetryPause);
+        mRetryPause = std::min(mRetryPause * 2, mOptions.maxRetryPause);
     }
 
     void newestReceived(const read_result &inResult)
@@ -192,7 +192,7 @@
         mAfterKey.clear();
         mLoaded = true;
         deliver(std::exchange(mPages, {}), true, mSnapshotStartedAt, 0);
-        schedule(mSettings.pause);
+        schedule(mOptions.pause);
     }
 
     void recordsReceived(const read_result &inResult)
@@ -213,7 +213,7 @@
         if (!newRecords.empty())
             mOffset = newRecords.back().offset + 1;
         deliver(std::move(newRecords), false, mStartedAt, from);
-        schedule(mSettings.pause);
+        schedule(mOptions.pause);
     }
 
     void deliver(std::vector<record> inRecords, bool inComplete, core::time_point inStartedAt,
@@ -223,17 +223,17 @@
             = mConfirmedAt != core::time_point() && inStartedAt - mConfirmedAt > sOutageTime;
         const bool afterFailure = std::exchange(mFailed, false);
         mConfirmedAt = inStartedAt;
-        mRetryPause = mSettings.minRetryPause;
+        mRetryPause = mOptions.minRetryPause;
         mHandler({std::move(inRecords), inComplete, inStartedAt, afterFailure, afterOutage, inFrom,
                   mOffset});
     }
 
     Client &mClient;
     std::string mTopic;
-    follow_settings mSettings;
+    follow_options mOptions;
     update_handler mHandler;
     kernel::timer mTimer;
-    core::duration mRetryPause = mSettings.minRetryPause;
+    core::duration mRetryPause = mOptions.minRetryPause;
     bool mLoaded = false;
     bool mFailed = false;
     /// Number of the last started read; answers to earlier reads are ignored.
--- a/tests/unit/catalog_service_test.cpp
+++ b/tests/unit/catalog_service_test.cpp
@@ -145,10 +145,10 @@
         store = created.get();
         registry.add(std::make_unique<catalog::catalog_service<mock_store>>(
             registry, metrics, std::move(created),
-            catalog::catalog_settings{.operatorTopic = platform::cOperatorTopic,
-                                      .endpointTopic = platform::cEndpointTopic,
-                                      .fleetTopic = "keyed.fleet",
-                                      .endpointPause = 20ms}));
+            catalog::catalog_options{.operatorTopic = platform::cOperatorTopic,
+                                     .endpointTopic = platform::cEndpointTopic,
+                                     .fleetTopic = "keyed.fleet",
+                                     .endpointPause = 20ms}));
         registry.handle<catalog::configuration_changed>(
             "test", [this](const catalog::configuration_changed &inChanged) {
                 versions.push_back(inChanged.table->version());
@@ -319,6 +319,6 @@
         fixture.run(10ms);
     }
     // The mock store answers reads at once, so only the pause between reads limits their number.
-    const core::duration pause = catalog::catalog_settings().fleetPause;
+    const core::duration pause = catalog::catalog_options().fleetPause;
     CHECK(updates <= (core::boot_clock::now() - start) / pause + 2);
 }
--- a/tests/unit/fleet_holder_claims_test.cpp
+++ b/tests/unit/fleet_holder_claims_test.cpp
@@ -45,7 +45,7 @@
     claims.confirmRead(cStart);
     claims.applyClaim("e1", claimOf("a", "10.0.0.1", 7, 5), cStart);
     claims.setMembers({"b"});
-    const core::duration limit = fleet::claim_settings().maxReadAge;
+    const core::duration limit = fleet::claim_options().maxReadAge;
     CHECK(claims.mayOrder("e1", cStart + limit - 100ms));
     CHECK_FALSE(claims.mayOrder("e1", cStart + limit));
     claims.confirmRead(cStart + 5s);
@@ -56,26 +56,26 @@
 
 TEST_CASE("a successor waits until its predecessor has stopped, plus the operator's pause")
 {
-    const fleet::claim_settings settings;
-    fleet::holder_claims claims(settings, cSelf, "north");
+    const fleet::claim_options options;
+    fleet::holder_claims claims(options, cSelf, "north");
     claims.applyClaim("e1", claimOf("b", "10.0.0.2", 1, 5), cStart);
     claims.confirmRead(cStart);
     const core::time_point taken = cStart + 10s;
     claims.confirmRead(taken);
     claims.applyClaim("e1", claimOf("a", "10.0.0.1", 7, 9), taken);
-    const core::duration wait = settings.maxReadAge + settings.handoverPause;
+    const core::duration wait = options.maxReadAge + options.handoverPause;
     for (core::duration later = 0s; later < wait; later += 500ms) {
         claims.confirmRead(taken + later);
         CHECK_FALSE(claims.mayOrder("e1", taken + later));
     }
-    claims.confirmRead(taken + wait + settings.handoverMargin);
-    CHECK(claims.mayOrder("e1", taken + wait + settings.handoverMargin));
+    claims.confirmRead(taken + wait + options.handoverMargin);
+    CHECK(claims.mayOrder("e1", taken + wait + options.handoverMargin));
 }
 
 TEST_CASE("a holder that all others hear may continue for a limited time without the store")
 {
-    const fleet::claim_settings settings;
-    fleet::holder_claims claims(settings, cSelf, "north");
+    const fleet::claim_options options;
+    fleet::holder_claims claims(options, cSelf, "north");
     claims.confirmRead(cStart);
     claims.applyClaim("e1", claimOf("a", "10.0.0.1", 7, 5), cStart);
     claims.setMembers({"b", "c"});
@@ -87,14 +87,14 @@
     // An instance that restarts meanwhile does not stop the holder at once.
     claims.heardBy("b", cStart + 10s);
     CHECK(claims.mayOrder("e1", cStart + 10s));
-    CHECK_FALSE(claims.mayOrder("e1", later + settings.maxHeardAge));
-    CHECK(settings.maxHeardAge + 1200ms < settings.silenceTimeout + settings.maxReadAge);
-    claims.heardBy("b", cStart + settings.maxReadAgeWhenHeard);
-    claims.heardBy("c", cStart + settings.maxReadAgeWhenHeard);
-    CHECK_FALSE(claims.mayOrder("e1", cStart + settings.maxReadAgeWhenHeard));
+    CHECK_FALSE(claims.mayOrder("e1", later + options.maxHeardAge));
+    CHECK(options.maxHeardAge + 1200ms < options.silenceTimeout + options.maxReadAge);
+    claims.heardBy("b", cStart + options.maxReadAgeWhenHeard);
+    claims.heardBy("c", cStart + options.maxReadAgeWhenHeard);
+    CHECK_FALSE(claims.mayOrder("e1", cStart + options.maxReadAgeWhenHeard));
     // An instance unknown to the holder can't give orders before the holder has stopped.
-    CHECK(settings.silenceTimeout + settings.maxReadAge + settings.handoverPause
-          > settings.maxReadAgeWhenHeard);
+    CHECK(options.silenceTimeout + options.maxReadAge + options.handoverPause
+          > options.maxReadAgeWhenHeard);
 }
 
 TEST_CASE("the wait persists across a restart on the same machine")
@@ -121,8 +121,8 @@
 
 TEST_CASE("engines of a silent instance are claimed after the timeout, by one instance only")
 {
-    const fleet::claim_settings settings;
-    fleet::holder_claims claims(settings, cSelf, "north");
+    const fleet::claim_options options;
+    fleet::holder_claims claims(options, cSelf, "north");
     claims.applyClaim("e1", claimOf("b", "10.0.0.2", 1, 5), cStart);
     claims.confirmRead(cStart);
     claims.setRecorded(cStart);
@@ -132,7 +132,7 @@
     claims.confirmRead(cStart + 7s);
     CHECK(claims.enginesToClaim(cEngine, {}, cStart + 7s) == std::vector<std::string>{"e1"});
     // Exactly one of two live instances is preferred for each engine.
-    fleet::holder_claims other(settings, {"c", "10.0.0.3", 1, 0}, "north");
+    fleet::holder_claims other(options, {"c", "10.0.0.3", 1, 0}, "north");
     other.applyClaim("e1", claimOf("b", "10.0.0.2", 1, 5), cStart);
     other.confirmRead(cStart);
     other.setRecorded(cStart);
@@ -150,8 +150,8 @@
 TEST_CASE(
     "an instance whose record was removed claims nothing until the others can know of it again")
 {
-    const fleet::claim_settings settings;
-    fleet::holder_claims claims(settings, cSelf, "north");
+    const fleet::claim_options options;
+    fleet::holder_claims claims(options, cSelf, "north");
     claims.applyClaim("e1", claimOf("b", "10.0.0.2", 1, 5), cStart);
     claims.confirmRead(cStart);
     const core::time_point later = cStart + 20s;
@@ -159,8 +159,8 @@
     CHECK(claims.enginesToClaim(cEngine, {}, later).empty());
     claims.setRecorded(later);
     CHECK(claims.enginesToClaim(cEngine, {}, later).empty());
-    claims.confirmRead(later + settings.silenceTimeout);
-    CHECK(claims.enginesToClaim(cEngine, {}, later + settings.silenceTimeout).size() == 1);
+    claims.confirmRead(later + options.silenceTimeout);
+    CHECK(claims.enginesToClaim(cEngine, {}, later + options.silenceTimeout).size() == 1);
 }
 
 TEST_CASE("an older record never replaces a newer claim")
