--- a/corneltally/fleet/fleet_codec.cpp
+++ b/corneltally/fleet/fleet_codec.cpp
@@ -80,7 +80,7 @@
         wire::HeartbeatT target;
         target.operator_end = inHeartbeat.operatorEnd;
         target.draining = inHeartbeat.draining;
-        target.hears_receiver = inHeartbeat.hearsReceiver;
+        target.hears_receiver = inHeartbeat.receiverLive;
         for (const limits::account_use &use : inHeartbeat.accountUses) {
             auto entry = std::make_unique<wire::AccountUseT>();
             entry->account = use.account;
@@ -161,7 +161,7 @@
 {
     heartbeat decoded{.operatorEnd = inBody.operator_end,
                       .draining = inBody.draining,
-                      .hearsReceiver = inBody.hears_receiver,
+                      .receiverLive = inBody.hears_receiver,
                       .adapterUses = inBody.adapter_uses,
                       .adaptersRunning = inBody.adapters_running};
     for (const auto &use : inBody.account_uses)
--- a/corneltally/fleet/fleet_messages.h
+++ b/corneltally/fleet/fleet_messages.h
@@ -44,7 +44,7 @@
     std::uint64_t operatorEnd = 0;
     bool draining = false;
     /// Whether the sender receives heartbeats from the receiver.
-    bool hearsReceiver = false;
+    bool receiverLive = false;
     std::vector<limits::account_use> accountUses;
     std::map<engines::endpoint_digest, engines::endpoint_load> loads;
     /// Adapters used by the requests sent since the last heartbeat, and those that running requests
--- a/corneltally/fleet/holder_claims.cpp
+++ b/corneltally/fleet/holder_claims.cpp
@@ -61,20 +61,21 @@
     const core::duration age = inNow - mConfirmedAt;
     if (age < mOptions.maxReadAge)
         return true;
-    return age < mOptions.maxReadAgeWhenHeard && isHeardByAll(mOptions.maxHeardAge, inNow);
+    return age < mOptions.maxReadAgeWhenLive
+        && isReportedLiveByAll(mOptions.maxLiveReportAge, inNow);
 }
 
-bool holder_claims::isHeardByAll(core::duration inAge, core::time_point inNow) const
+bool holder_claims::isReportedLiveByAll(core::duration inAge, core::time_point inNow) const
 {
     return std::ranges::all_of(mMembers, [&](const std::string &inMember) {
-        const auto found = mHeardBy.find(inMember);
-        return found != mHeardBy.end() && inNow - found->second < inAge;
+        const auto found = mLiveReports.find(inMember);
+        return found != mLiveReports.end() && inNow - found->second < inAge;
     });
 }
 
-void holder_claims::heardBy(std::string_view inInstance, core::time_point inNow)
+void holder_claims::reportedLiveBy(std::string_view inInstance, core::time_point inNow)
 {
-    mHeardBy.insert_or_assign(std::string(inInstance), inNow);
+    mLiveReports.insert_or_assign(std::string(inInstance), inNow);
 }
 
 const claim *holder_claims::find(std::string_view inEngine) const
@@ -83,16 +84,17 @@
     return found == mEngines.end() ? nullptr : &found->second.holder;
 }
 
-void holder_claims::heard(std::string_view inInstance, core::time_point inNow)
+void holder_claims::messageReceived(std::string_view inInstance, core::time_point inNow)
 {
-    mHeard.insert_or_assign(std::string(inInstance), inNow);
+    mLastReceived.insert_or_assign(std::string(inInstance), inNow);
 }
 
-core::time_point holder_claims::lastHeard(const std::string &inInstance) const
+core::time_point holder_claims::lastReceived(const std::string &inInstance) const
 {
-    const auto found = mHeard.find(inInstance);
+    const auto found = mLastReceived.find(inInstance);
     // For an instance that was never heard the silence counts from this instance's first read.
-    return found == mHeard.end() ? mFirstConfirmed.value_or(core::time_point()) : found->second;
+    return found == mLastReceived.end() ? mFirstConfirmed.value_or(core::time_point())
+                                        : found->second;
 }
 
 /// Whether this instance is the preferred holder among the live ones. Instances in the engine's
@@ -129,7 +131,7 @@
         }
         const bool isFree = holder == nullptr ? inNow - *mFirstConfirmed >= mOptions.firstClaimDelay
                                               : mRecordedAt
-                && inNow - std::max(*mRecordedAt, lastHeard(holder->instance))
+                && inNow - std::max(*mRecordedAt, lastReceived(holder->instance))
                     >= mOptions.silenceTimeout;
         if (isFree && isPreferred(engine, inLiveInstances))
             claims.push_back(engine.name);
--- a/corneltally/fleet/holder_claims.h
+++ b/corneltally/fleet/holder_claims.h
@@ -21,11 +21,11 @@
     /// Replaces maxReadAge while all known instances report that they hear the holder, since no
     /// instance claims the engines of an instance that it hears. An instance unknown to the holder
     /// can't give orders before its silenceTimeout and its wait for the former holder have passed.
-    core::duration maxReadAgeWhenHeard = std::chrono::milliseconds(11000);
+    core::duration maxReadAgeWhenLive = std::chrono::milliseconds(11000);
     /// Maximum age of such a report. An instance claims only after its silenceTimeout, and a claim
     /// takes effect only after maxReadAge. The limit must therefore stay below their sum by the
     /// time after which an instance counts as not heard (1.2 s) and a margin for late reports.
-    core::duration maxHeardAge = std::chrono::milliseconds(6500);
+    core::duration maxLiveReportAge = std::chrono::milliseconds(6500);
     /// Pause between the orders of two successive holders of an engine, as set by the operator.
     core::duration handoverPause = std::chrono::milliseconds(3000);
     /// Added to handoverPause for orders that are delayed in transit.
@@ -100,10 +100,10 @@
     const claim *find(std::string_view inEngine) const;
 
     /// Notes that a message of another instance was received.
-    void heard(std::string_view inInstance, core::time_point inNow);
+    void messageReceived(std::string_view inInstance, core::time_point inNow);
 
     /// Notes that another instance reported that it hears this one.
-    void heardBy(std::string_view inInstance, core::time_point inNow);
+    void reportedLiveBy(std::string_view inInstance, core::time_point inNow);
 
     /// Notes that the record of this instance was read. Holders take no account of instances
     /// without a record, so this one claims engines of others only after the silenceTimeout has
@@ -111,7 +111,7 @@
     void setRecorded(core::time_point inNow) { mRecordedAt = inNow; }
 
     /// Whether all other instances that may exist reported within inAge that they hear this one.
-    bool isHeardByAll(core::duration inAge, core::time_point inNow) const;
+    bool isReportedLiveByAll(core::duration inAge, core::time_point inNow) const;
 
     /// Whether the last read of the claims is recent enough to append a claim.
     bool hasFreshRead(core::time_point inNow) const
@@ -142,15 +142,15 @@
 
     bool isPreferred(const fleet_node &inEngine,
                      const std::vector<fleet_node> &inLiveInstances) const;
-    core::time_point lastHeard(const std::string &inInstance) const;
+    core::time_point lastReceived(const std::string &inInstance) const;
     bool isReadValid(core::time_point inNow) const;
 
     claim_options mOptions;
     claim mSelf;
     std::string mFailureDomain;
     std::map<std::string, held_engine, std::less<>> mEngines;
-    std::map<std::string, core::time_point, std::less<>> mHeard;
-    std::map<std::string, core::time_point, std::less<>> mHeardBy;
+    std::map<std::string, core::time_point, std::less<>> mLastReceived;
+    std::map<std::string, core::time_point, std::less<>> mLiveReports;
     std::vector<std::string> mMembers;
     core::time_point mConfirmedAt;
     std::optional<core::time_point> mRecordedAt;
--- a/corneltally/fleet/mesh_service.cpp
+++ b/corneltally/fleet/mesh_service.cpp
@@ -20,7 +20,7 @@
 constexpr core::duration cLiveTimeout = std::chrono::milliseconds(1000);
 /// A connection is reopened if the other instance has not reported for this long that it hears this
 /// one, since an established connection may be dead while new ones work.
-constexpr core::duration cUnheardTimeout = std::chrono::milliseconds(1500);
+constexpr core::duration cLiveReportTimeout = std::chrono::milliseconds(1500);
 constexpr core::duration cMinRetryPause = std::chrono::milliseconds(100);
 constexpr core::duration cMaxRetryPause = std::chrono::milliseconds(1000);
 /// The record of an instance that was not heard for this long is removed, so that holders no longer
@@ -47,7 +47,7 @@
         cName, [this](const catalog::fleet_topic_updated &inUpdate) { topicUpdated(inUpdate); });
     mRegistry.handle<catalog::fleet_topic_append_ended>(
         cName, [this](const catalog::fleet_topic_append_ended &inEnded) {
-            mAppendPending = false;
+            mAppendInFlight = false;
             if (inEnded.result.outcome != store::append_result::status::accepted)
                 core::logEvent(core::log_level::warning, "instance_record_not_written",
                                {{"outcome", static_cast<int>(inEnded.result.outcome)}});
@@ -128,9 +128,9 @@
 
 void mesh_service::recordSelf()
 {
-    if (mSelfRecorded || mAppendPending || !mTopicLoaded)
+    if (mSelfRecorded || mAppendInFlight || !mTopicLoaded)
         return;
-    mAppendPending = true;
+    mAppendInFlight = true;
     mRegistry.post("catalog",
                    catalog::fleet_topic_append{
                        std::string(cName), {memberRecord(mOptions.self)}, std::nullopt});
@@ -162,15 +162,15 @@
 {
     std::erase_if(mInstances, [&](const auto &inEntry) {
         const known_instance &known = inEntry.second;
-        return !known.recorded && !known.live && known.heardAt
-            && inNow - *known.heardAt > cForgetTimeout;
+        return !known.recorded && !known.live && known.receivedAt
+            && inNow - *known.receivedAt > cForgetTimeout;
     });
-    if (!mTopicLoaded || mAppendPending)
+    if (!mTopicLoaded || mAppendInFlight)
         return;
     for (auto &[name, known] : mInstances) {
-        if (!known.heardAt)
-            known.heardAt = inNow;
-        if (known.live || !known.recorded || inNow - *known.heardAt < cRecordRemovalTime)
+        if (!known.receivedAt)
+            known.receivedAt = inNow;
+        if (known.live || !known.recorded || inNow - *known.receivedAt < cRecordRemovalTime)
             continue;
         // Only the live instance whose name comes first removes records.
         const bool isFirst = std::ranges::none_of(mInstances, [&](const auto &inOther) {
@@ -178,7 +178,7 @@
         });
         if (!isFirst)
             return;
-        mAppendPending = true;
+        mAppendInFlight = true;
         mRegistry.post(
             "catalog",
             catalog::fleet_topic_append{std::string(cName), {removedMember(name)}, std::nullopt});
@@ -246,9 +246,9 @@
 {
     const core::time_point now = core::boot_clock::now();
     known_instance &known = mInstances.at(inInstance);
-    known.heardAt = now;
-    if (inHeartbeat.hearsReceiver)
-        known.hearsSelfAt = now;
+    known.receivedAt = now;
+    if (inHeartbeat.receiverLive)
+        known.reportedLiveAt = now;
     if (!known.live) {
         known.live = true;
         core::logEvent(core::log_level::info, "peer_regained",
@@ -297,12 +297,12 @@
 void mesh_service::maintainLinks(core::time_point inNow)
 {
     for (auto &[name, known] : mInstances) {
-        if (known.link.connection && inNow - known.link.openedAt > cUnheardTimeout
-            && inNow - known.hearsSelfAt > cUnheardTimeout)
+        if (known.link.connection && inNow - known.link.openedAt > cLiveReportTimeout
+            && inNow - known.reportedLiveAt > cLiveReportTimeout)
             known.link.connection.reset();
         if (!known.link.connection && inNow >= known.link.retryAt)
             openLink(known.link, known.description.address, name);
-        if (known.live && inNow - *known.heardAt > cLiveTimeout) {
+        if (known.live && inNow - *known.receivedAt > cLiveTimeout) {
             known.live = false;
             mMetrics.count("peers_lost_total");
             core::logEvent(core::log_level::warning, "peer_lost", {{"peer", name}});
@@ -343,7 +343,7 @@
                    .pauses = inPart.pauses};
     const core::time_point now = core::boot_clock::now();
     const std::string toSilent = encode(beat, now);
-    beat.hearsReceiver = true;
+    beat.receiverLive = true;
     const std::string toLive = encode(beat, now);
     for (auto &[name, known] : mInstances) {
         if (known.link.connection)
--- a/corneltally/fleet/mesh_service.h
+++ b/corneltally/fleet/mesh_service.h
@@ -70,9 +70,9 @@
         outgoing link;
         /// Whether the store has a record of the instance.
         bool recorded = false;
-        std::optional<core::time_point> heardAt;
+        std::optional<core::time_point> receivedAt;
         /// When the instance last reported that it hears this one.
-        core::time_point hearsSelfAt;
+        core::time_point reportedLiveAt;
         bool live = false;
     };
     struct incoming
@@ -114,7 +114,7 @@
     std::uint64_t mTopicEnd = 0;
     bool mTopicLoaded = false;
     bool mSelfRecorded = false;
-    bool mAppendPending = false;
+    bool mAppendInFlight = false;
     bool mDraining = false;
     std::optional<bool> mIsReader;
     std::optional<instances_changed> mPublished;
--- a/corneltally/orders/order_service.cpp
+++ b/corneltally/orders/order_service.cpp
@@ -115,7 +115,7 @@
                                                    mClaims.setMembers(inChanged.recorded);
                                                });
     mRegistry.handle<fleet::mesh_received>(cName, [this](const fleet::mesh_received &inReceived) {
-        mClaims.heard(inReceived.instance, core::boot_clock::now());
+        mClaims.messageReceived(inReceived.instance, core::boot_clock::now());
         if (const auto *request = std::get_if<fleet::load_wanted>(&inReceived.body))
             wanted(*request, inReceived.instance);
         else if (const auto *report = std::get_if<fleet::adapter_missing>(&inReceived.body))
@@ -125,8 +125,8 @@
         else if (const auto *state = std::get_if<fleet::engine_state>(&inReceived.body))
             mElsewhere[state->endpoint] = state->adapters;
         else if (const auto *beat = std::get_if<fleet::heartbeat>(&inReceived.body)) {
-            if (beat->hearsReceiver)
-                mClaims.heardBy(inReceived.instance, core::boot_clock::now());
+            if (beat->receiverLive)
+                mClaims.reportedLiveBy(inReceived.instance, core::boot_clock::now());
             used(inReceived.instance, beat->adapterUses, beat->adaptersRunning);
         }
     });
@@ -254,7 +254,7 @@
 /// Looks at the claims are rare while nobody can claim engines of this instance.
 void order_service::tendLooks(core::time_point inNow)
 {
-    const bool isCalm = mClaims.isHeardByAll(cHeardAge, inNow);
+    const bool isCalm = mClaims.isReportedLiveByAll(cHeardAge, inNow);
     if (isCalm == mCalm)
         return;
     mCalm = isCalm;
--- a/tests/unit/fleet_codec_test.cpp
+++ b/tests/unit/fleet_codec_test.cpp
@@ -26,7 +26,7 @@
     checkRoundTrip(fleet::hello{"a", "10.0.0.1", "10.0.0.1:80", "north", 7, 12});
     checkRoundTrip(fleet::heartbeat{.operatorEnd = 4,
                                     .draining = true,
-                                    .hearsReceiver = true,
+                                    .receiverLive = true,
                                     .accountUses = {{"north", 12.5}},
                                     .loads = {{engines::digestOf("e1"), {3, 100, 200}}},
                                     .adapterUses = {engines::digestOf("e1", "base/a1")},
--- a/tests/unit/fleet_holder_claims_test.cpp
+++ b/tests/unit/fleet_holder_claims_test.cpp
@@ -80,21 +80,21 @@
     claims.applyClaim("e1", claimOf("a", "10.0.0.1", 7, 5), cStart);
     claims.setMembers({"b", "c"});
     const core::time_point later = cStart + 5s;
-    claims.heardBy("b", later);
+    claims.reportedLiveBy("b", later);
     CHECK_FALSE(claims.mayOrder("e1", later));
-    claims.heardBy("c", later);
+    claims.reportedLiveBy("c", later);
     CHECK(claims.mayOrder("e1", later));
     // An instance that restarts meanwhile does not stop the holder at once.
-    claims.heardBy("b", cStart + 10s);
+    claims.reportedLiveBy("b", cStart + 10s);
     CHECK(claims.mayOrder("e1", cStart + 10s));
-    CHECK_FALSE(claims.mayOrder("e1", later + options.maxHeardAge));
-    CHECK(options.maxHeardAge + 1200ms < options.silenceTimeout + options.maxReadAge);
-    claims.heardBy("b", cStart + options.maxReadAgeWhenHeard);
-    claims.heardBy("c", cStart + options.maxReadAgeWhenHeard);
-    CHECK_FALSE(claims.mayOrder("e1", cStart + options.maxReadAgeWhenHeard));
+    CHECK_FALSE(claims.mayOrder("e1", later + options.maxLiveReportAge));
+    CHECK(options.maxLiveReportAge + 1200ms < options.silenceTimeout + options.maxReadAge);
+    claims.reportedLiveBy("b", cStart + options.maxReadAgeWhenLive);
+    claims.reportedLiveBy("c", cStart + options.maxReadAgeWhenLive);
+    CHECK_FALSE(claims.mayOrder("e1", cStart + options.maxReadAgeWhenLive));
     // An instance unknown to the holder can't give orders before the holder has stopped.
     CHECK(options.silenceTimeout + options.maxReadAge + options.handoverPause
-          > options.maxReadAgeWhenHeard);
+          > options.maxReadAgeWhenLive);
 }
 
 TEST_CASE("the wait persists across a restart on the same machine")
@@ -126,7 +126,7 @@
     claims.applyClaim("e1", claimOf("b", "10.0.0.2", 1, 5), cStart);
     claims.confirmRead(cStart);
     claims.setRecorded(cStart);
-    claims.heard("b", cStart);
+    claims.messageReceived("b", cStart);
     claims.confirmRead(cStart + 6s);
     CHECK(claims.enginesToClaim(cEngine, {}, cStart + 6s).empty());
     claims.confirmRead(cStart + 7s);
@@ -136,7 +136,7 @@
     other.applyClaim("e1", claimOf("b", "10.0.0.2", 1, 5), cStart);
     other.confirmRead(cStart);
     other.setRecorded(cStart);
-    other.heard("b", cStart);
+    other.messageReceived("b", cStart);
     other.confirmRead(cStart + 7s);
     const auto mine = claims.enginesToClaim(cEngine, {{"c", "north"}}, cStart + 7s);
     const auto theirs = other.enginesToClaim(cEngine, {{"a", "north"}}, cStart + 7s);
@@ -178,9 +178,9 @@
     CHECK(claims.hasFreshRead(cStart + 900ms));
     CHECK_FALSE(claims.hasFreshRead(cStart + 1100ms));
     claims.setMembers({"b", "c"});
-    claims.heardBy("b", cStart);
-    CHECK_FALSE(claims.isHeardByAll(1500ms, cStart));
-    claims.heardBy("c", cStart);
-    CHECK(claims.isHeardByAll(1500ms, cStart + 1400ms));
-    CHECK_FALSE(claims.isHeardByAll(1500ms, cStart + 1600ms));
+    claims.reportedLiveBy("b", cStart);
+    CHECK_FALSE(claims.isReportedLiveByAll(1500ms, cStart));
+    claims.reportedLiveBy("c", cStart);
+    CHECK(claims.isReportedLiveByAll(1500ms, cStart + 1400ms));
+    CHECK_FALSE(claims.isReportedLiveByAll(1500ms, cStart + 1600ms));
 }
