--- a/corneltally/catalog/catalog_messages.h
+++ b/corneltally/catalog/catalog_messages.h
@@ -51,7 +51,7 @@
     bool mayReturn = false;
 };
 
-/// Offset after the newest operator record that this instance has.
+/// End of the operator records that this instance has: the offset after the newest one.
 struct operator_end_changed
 {
     std::uint64_t end = 0;
@@ -101,7 +101,7 @@
     store::topic_update update;
 };
 
-/// Ask to read the fleet topic now, or to change how long its reads wait at the store.
+/// Ask to poll the fleet topic, or to change how long its reads wait at the store.
 struct fleet_topic_poll
 { };
 struct fleet_topic_wait_changed
--- a/corneltally/catalog/catalog_service.h
+++ b/corneltally/catalog/catalog_service.h
@@ -20,7 +20,7 @@
 
 namespace corneltally::catalog {
 
-/// Topics of the store and the timing of their reads.
+/// Options of the catalog service: the topics of the store and the timing of their reads.
 struct catalog_options
 {
     std::string operatorTopic;
@@ -260,7 +260,7 @@
                        unavailable ? "store_lost" : "store_regained");
     }
 
-    /// Entries that lapsed while the store was unavailable are renewed within this time after its
+    /// Entries that expired while the store was unavailable are renewed within this time after its
     /// return.
     static constexpr core::duration cReturnWindow = std::chrono::seconds(1);
 
--- a/corneltally/fleet/fleet_messages.h
+++ b/corneltally/fleet/fleet_messages.h
@@ -23,7 +23,7 @@
     std::string address;
     std::string failureDomain;
     std::uint64_t incarnation = 0;
-    /// Offset after the newest operator record that the sender has.
+    /// End of the operator records that the sender has: the offset after the newest one.
     std::uint64_t operatorEnd = 0;
 
     friend bool operator==(const hello &, const hello &) = default;
@@ -43,7 +43,7 @@
 {
     std::uint64_t operatorEnd = 0;
     bool draining = false;
-    /// Whether the sender receives heartbeats from the receiver.
+    /// Whether the receiver is live for the sender: heartbeats from it arrive.
     bool receiverLive = false;
     std::vector<limits::account_use> accountUses;
     std::map<engines::endpoint_digest, engines::endpoint_load> loads;
@@ -57,7 +57,7 @@
     friend bool operator==(const heartbeat &, const heartbeat &) = default;
 };
 
-/// Asks the holder of an engine to load the adapter that a request needs.
+/// Asks the holder of an engine to load an adapter that a request needs.
 struct load_wanted
 {
     std::string endpoint;
@@ -100,7 +100,7 @@
     bool ready = false;
     engines::residency adapters;
     std::vector<std::string> models;
-    /// Number of requested adapters that wait for a free slot.
+    /// Number of requested adapters that wait for a free adapter slot.
     int queued = 0;
 
     friend bool operator==(const engine_state &, const engine_state &) = default;
--- a/corneltally/fleet/holder_claims.h
+++ b/corneltally/fleet/holder_claims.h
@@ -13,26 +13,26 @@
 
 namespace corneltally::fleet {
 
-/// Time limits of claims on engines.
+/// Time limits of engine claims.
 struct claim_options
 {
     /// A holder gives orders only if its last read of the claims is more recent than this.
     core::duration maxReadAge = std::chrono::milliseconds(4000);
-    /// Replaces maxReadAge while all known instances report that they hear the holder, since no
-    /// instance claims the engines of an instance that it hears. An instance unknown to the holder
-    /// can't give orders before its silenceTimeout and its wait for the former holder have passed.
+    /// Replaces maxReadAge while all known instances report the holder as live, since no instance
+    /// claims the engines of a live instance. An instance unknown to the holder can't give orders
+    /// before its silenceTimeout and its wait for the former holder have passed.
     core::duration maxReadAgeWhenLive = std::chrono::milliseconds(11000);
     /// Maximum age of such a report. An instance claims only after its silenceTimeout, and a claim
     /// takes effect only after maxReadAge. The limit must therefore stay below their sum by the
-    /// time after which an instance counts as not heard (1.2 s) and a margin for late reports.
+    /// time after which an instance is no longer live (1.2 s) and a margin for late reports.
     core::duration maxLiveReportAge = std::chrono::milliseconds(6500);
     /// Pause between the orders of two successive holders of an engine, as set by the operator.
     core::duration handoverPause = std::chrono::milliseconds(3000);
-    /// Added to handoverPause for orders that are delayed in transit.
+    /// Added to handoverPause for delays of orders in flight.
     core::duration handoverMargin = std::chrono::milliseconds(400);
-    /// An instance that was not heard for this long loses its engines. Most network interruptions
-    /// and restarts are shorter: a returning holder can continue at once, while a successor has to
-    /// wait.
+    /// An instance from which nothing is received for this long loses its engines. Most
+    /// interruptions and restarts are shorter: a returning holder can continue at once, while a
+    /// successor has to wait.
     core::duration silenceTimeout = std::chrono::milliseconds(7000);
     /// A claim is appended only if the last read of the claims is more recent than this. A slow
     /// store takes 0.25 s and more to answer a read.
@@ -41,7 +41,7 @@
     core::duration firstClaimDelay = std::chrono::milliseconds(600);
 };
 
-/// Holder of an engine.
+/// An engine claim: names the holder of an engine.
 struct claim
 {
     /// Name of the instance, and the machine that it runs on.
@@ -102,7 +102,7 @@
     /// Notes that a message of another instance was received.
     void messageReceived(std::string_view inInstance, core::time_point inNow);
 
-    /// Notes that another instance reported that it hears this one.
+    /// Notes that another instance reported this one as live.
     void reportedLiveBy(std::string_view inInstance, core::time_point inNow);
 
     /// Notes that the record of this instance was read. Holders take no account of instances
@@ -110,7 +110,7 @@
     /// passed since then.
     void setRecorded(core::time_point inNow) { mRecordedAt = inNow; }
 
-    /// Whether all other instances that may exist reported within inAge that they hear this one.
+    /// Whether all other instances that may exist reported this one as live within inAge.
     bool isReportedLiveByAll(core::duration inAge, core::time_point inNow) const;
 
     /// Whether the last read of the claims is recent enough to append a claim.
--- a/corneltally/fleet/mesh_service.cpp
+++ b/corneltally/fleet/mesh_service.cpp
@@ -16,15 +16,15 @@
 
 /// Heartbeats carry loads and rate totals; the period limits how outdated these can be.
 constexpr core::duration cHeartbeatPeriod = std::chrono::milliseconds(200);
-/// An instance that was not heard for this long, five heartbeats, is not live.
+/// An instance from which no heartbeat is received for this long, five periods, is not live.
 constexpr core::duration cLiveTimeout = std::chrono::milliseconds(1000);
-/// A connection is reopened if the other instance has not reported for this long that it hears this
-/// one, since an established connection may be dead while new ones work.
+/// A connection is reopened if the other instance has not reported this one as live for this long,
+/// since an established connection may be dead while new ones work.
 constexpr core::duration cLiveReportTimeout = std::chrono::milliseconds(1500);
 constexpr core::duration cMinRetryPause = std::chrono::milliseconds(100);
 constexpr core::duration cMaxRetryPause = std::chrono::milliseconds(1000);
-/// The record of an instance that was not heard for this long is removed, so that holders no longer
-/// need its reports. An instance that is still alive appends its record again.
+/// The record of an instance from which no heartbeat is received for this long is removed, so that
+/// holders no longer need its reports. An instance that is still alive appends its record again.
 constexpr core::duration cRecordRemovalTime = std::chrono::seconds(8);
 /// An instance without a record still counts in the rate limits for this long, since it may be
 /// alive but unreachable.
--- a/corneltally/fleet/mesh_service.h
+++ b/corneltally/fleet/mesh_service.h
@@ -71,7 +71,7 @@
         /// Whether the store has a record of the instance.
         bool recorded = false;
         std::optional<core::time_point> receivedAt;
-        /// When the instance last reported that it hears this one.
+        /// When the instance last reported this one as live.
         core::time_point reportedLiveAt;
         bool live = false;
     };
--- a/corneltally/forwarding/forward_context.h
+++ b/corneltally/forwarding/forward_context.h
@@ -40,7 +40,7 @@
     core::duration repeatableIdleLimit = std::chrono::seconds(3);
     /// Time for the holder of an engine to start a requested load.
     core::duration loadStartTimeout = std::chrono::milliseconds(900);
-    /// Delay before a request is sent again to an engine that is still loading its adapter.
+    /// Delay before a request is sent again to an engine on which its adapter is being loaded.
     core::duration loadRetryPause = std::chrono::milliseconds(50);
     int maxLoadRetries = 3;
     /// Reading from the endpoint stops while more answer bytes than this are unsent to the caller.
--- a/corneltally/routing/service.h
+++ b/corneltally/routing/service.h
@@ -23,7 +23,7 @@
 {
     /// Maximum number of requests that an engine runs at the same time.
     int batch = 0;
-    /// Tokens of prompts and answers that fit into the memory of an engine.
+    /// Tokens of prompts and answers that fit into the KV cache of an engine.
     double memoryTokens = 0;
     double weightsMb = 0;
     /// Maximum number of resident adapters, including those that are being loaded.
--- a/corneltally/store/record.h
+++ b/corneltally/store/record.h
@@ -31,7 +31,7 @@
 
     status outcome = status::unavailable;
     std::vector<record> records;
-    /// Offset after the last record of the topic.
+    /// End of the topic: the offset after its last record.
     std::uint64_t end = 0;
     /// Whether there are more keys after the last one; used only for reads of newest records.
     bool hasMore = false;
--- a/corneltally/store/topic_follower.h
+++ b/corneltally/store/topic_follower.h
@@ -17,7 +17,7 @@
 
 namespace corneltally::store {
 
-/// Timing of the reads of a followed topic.
+/// Options of a topic follower: the timing of its reads.
 struct follow_options
 {
     /// Maximum time that a read waits at the store for a record.
@@ -76,7 +76,7 @@
     std::uint64_t end() const { return mOffset; }
     bool isUnavailable(core::time_point inNow) const { return inNow - mConfirmedAt > sOutageTime; }
 
-    /// Abandons the pending read and starts another one.
+    /// Abandons the read in flight and starts another one.
     void restart()
     {
         if (!mTimer.isPending())
@@ -90,7 +90,7 @@
             schedule(core::duration::zero());
     }
 
-    /// Changes the time that reads wait at the store, including the pending read.
+    /// Changes the time that reads wait at the store, including the read in flight.
     void setWait(core::duration inWait)
     {
         if (mOptions.wait == inWait)
@@ -99,7 +99,7 @@
         restart();
     }
 
-    /// Reads without waiting at the store, to confirm the current state of the topic.
+    /// Polls the topic: reads without waiting at the store, to confirm its current state.
     void poll()
     {
         if (mLoaded)
@@ -117,7 +117,7 @@
                              [this](const record &inRecord) { return inRecord.offset >= mOffset; });
         const std::uint64_t from = mOffset;
         mOffset = inUpdate.end;
-        // A pending read is left running; its answer will contain no further records.
+        // A read in flight is left running; its answer will contain no further records.
         const bool isReading = !mTimer.isPending();
         deliver(std::move(newRecords), false, core::boot_clock::now(), from);
         mTimer.cancel();
--- a/tests/unit/catalog_service_test.cpp
+++ b/tests/unit/catalog_service_test.cpp
@@ -1,5 +1,5 @@
 // Guards against configurations that revert to an older version, topic history that the store no
-// longer retains, and entries that lapse while the store is unavailable.
+// longer retains, and entries that expire while the store is unavailable.
 
 #include "corneltally/catalog/catalog_service.h"
 #include "corneltally/kernel/event_loop.h"
@@ -231,7 +231,7 @@
     CHECK(fixture.versions.back() == 8);
 }
 
-TEST_CASE("an entry that lapsed during an outage may return, any other lapsed entry is removed")
+TEST_CASE("an entry that expired during an outage may return, any other removed entry is gone")
 {
     catalog_fixture fixture;
     fixture.store->put(platform::cEndpointTopic, "e1", entry());
@@ -285,7 +285,7 @@
     CHECK(fixture.events == std::vector<std::string>{"ready e1", "removed e1"});
 }
 
-TEST_CASE("an immediate read of the fleet topic does not wait, and the wait can be changed")
+TEST_CASE("a poll of the fleet topic does not wait at the store, and the wait can be changed")
 {
     catalog_fixture fixture;
     fixture.store->put("keyed.fleet", "a", "1");
--- a/tests/unit/fleet_holder_claims_test.cpp
+++ b/tests/unit/fleet_holder_claims_test.cpp
@@ -72,7 +72,7 @@
     CHECK(claims.mayOrder("e1", taken + wait + options.handoverMargin));
 }
 
-TEST_CASE("a holder that all others hear may continue for a limited time without the store")
+TEST_CASE("a holder that all others report live may continue for a limited time without the store")
 {
     const fleet::claim_options options;
     fleet::holder_claims claims(options, cSelf, "north");
@@ -171,7 +171,7 @@
     CHECK(claims.find("e1")->instance == "b");
 }
 
-TEST_CASE("a claim needs a fresh read, and isHeardByAll requires recent reports of all members")
+TEST_CASE("a claim needs a fresh read, and only recent reports of all members count as live")
 {
     fleet::holder_claims claims({}, cSelf, "north");
     claims.confirmRead(cStart);
