--- a/tests/unit/catalog_service_test.cpp
+++ b/tests/unit/catalog_service_test.cpp
@@ -231,7 +231,7 @@
     CHECK(fixture.versions.back() == 8);
 }
 
-TEST_CASE("an entry that expired during an outage may return, any other removed entry is gone")
+TEST_CASE("an entry removed during an outage may return, other removed entries may not")
 {
     catalog_fixture fixture;
     fixture.store->put(platform::cEndpointTopic, "e1", entry());
