--- a/corneltally/entry/dispatch_rules.cpp
+++ b/corneltally/entry/dispatch_rules.cpp
@@ -17,7 +17,7 @@
 
 bool mayRepeat(const failed_attempt &inAttempt)
 {
-    if (inAttempt.outcome == run_outcome::completed || inAttempt.partReached
+    if (inAttempt.outcome == run_outcome::completed || inAttempt.partDelivered
         || inAttempt.attempts >= cMaxAttempts || inAttempt.remaining <= core::duration(0))
         return false;
     return inAttempt.outcome == run_outcome::not_run || inAttempt.repeatable;
--- a/corneltally/entry/dispatch_rules.h
+++ b/corneltally/entry/dispatch_rules.h
@@ -16,7 +16,7 @@
     run_outcome outcome = run_outcome::unknown;
     bool repeatable = false;
     /// A part of the answer reached the caller.
-    bool partReached = false;
+    bool partDelivered = false;
     /// Attempts made so far.
     int attempts = 1;
     core::duration remaining{};
--- a/corneltally/entry/dispatch_service.cpp
+++ b/corneltally/entry/dispatch_service.cpp
@@ -62,10 +62,10 @@
     mRegistry.handle<run_abandon>(
         name(), [this](const run_abandon &inAbandon) { abandon(inAbandon.requestId); });
     mRegistry.handle<run_event>(
-        name(), [this](const run_event &inEvent) { takeEvent(inEvent, mInstance); });
+        name(), [this](const run_event &inEvent) { handleEvent(inEvent, mInstance); });
     mRegistry.handle<peer_received<run_event>>(
         name(), [this](const peer_received<run_event> &inReceived) {
-            takeEvent(inReceived.message, inReceived.instance);
+            handleEvent(inReceived.message, inReceived.instance);
         });
     mRegistry.handle<endpoint_status>(name(), [this](const endpoint_status &inStatus) {
         mDirectory.takeStatus(inStatus, core::boot_clock::now());
@@ -82,7 +82,7 @@
     mRegistry.handle<peer_connected>(name(), [this](const peer_connected &inConnected) {
         mDirectory.setConnected(inConnected.instance, true);
     });
-    mRegistry.handle<peer_lost>(name(), [this](const peer_lost &inLost) { applyLost(inLost); });
+    mRegistry.handle<peer_lost>(name(), [this](const peer_lost &inLost) { handlePeerLost(inLost); });
 }
 
 dispatch_service::~dispatch_service() = default;
@@ -174,7 +174,7 @@
         return;
     }
     if (!mRegistry.post("owner", std::move(message)))
-        takeEnd(ioRun, notRunEnd(core::error_kind::unavailable, "the endpoint has no owner"));
+        handleEnd(ioRun, notRunEnd(core::error_kind::unavailable, "the endpoint has no owner"));
 }
 
 void dispatch_service::waitForEndpoint(dispatched_run &ioRun, core::time_point inNow)
@@ -216,11 +216,11 @@
                           .timeout = timeout,
                           .freshConnection = !request.repeatable},
                          [this, id = request.requestId](const endpoint::service_answer &inAnswer) {
-                             takeServiceAnswer(id, inAnswer);
+                             handleServiceAnswer(id, inAnswer);
                          });
 }
 
-void dispatch_service::takeServiceAnswer(const std::string &inRequestId,
+void dispatch_service::handleServiceAnswer(const std::string &inRequestId,
                                          const endpoint::service_answer &inAnswer)
 {
     const auto found = mRuns.find(inRequestId);
@@ -232,20 +232,20 @@
     case endpoint::service_outcome::answered:
         forward(running, {inRequestId, run_head{inAnswer.status, inAnswer.contentType}});
         forward(running, {inRequestId, run_chunk{0, inAnswer.body}});
-        takeEnd(running, {.outcome = run_outcome::completed});
+        handleEnd(running, {.outcome = run_outcome::completed});
         break;
     case endpoint::service_outcome::not_run:
-        takeEnd(running,
+        handleEnd(running,
                 notRunEnd(core::error_kind::unavailable, inAnswer.reason,
                           std::max(1, inAnswer.retryAfterSeconds)));
         break;
     case endpoint::service_outcome::unknown:
-        takeEnd(running, unknownEnd(core::error_kind::outcome_unknown, inAnswer.reason));
+        handleEnd(running, unknownEnd(core::error_kind::outcome_unknown, inAnswer.reason));
         break;
     }
 }
 
-void dispatch_service::takeEvent(const run_event &inEvent, const std::string &inFrom)
+void dispatch_service::handleEvent(const run_event &inEvent, const std::string &inFrom)
 {
     const auto found = mRuns.find(inEvent.requestId);
     // Late events of an owner that was given up belong to an earlier attempt.
@@ -257,43 +257,43 @@
         if (!std::exchange(running.headSent, true))
             forward(running, {inEvent.requestId, *head});
     } else if (const auto *chunk = std::get_if<run_chunk>(&inEvent.event)) {
-        takeChunk(running, *chunk);
+        handleChunk(running, *chunk);
     } else {
-        takeEnd(running, std::get<run_end>(inEvent.event));
+        handleEnd(running, std::get<run_end>(inEvent.event));
     }
 }
 
-void dispatch_service::takeChunk(dispatched_run &ioRun, const run_chunk &inChunk)
+void dispatch_service::handleChunk(dispatched_run &ioRun, const run_chunk &inChunk)
 {
     // A part that was received before the stream was resumed.
     if (inChunk.index < ioRun.nextPart)
         return;
     if (inChunk.index > ioRun.nextPart) {
-        streamLost(ioRun, "a part of the stream is missing");
+        handleStreamLost(ioRun, "a part of the stream is missing");
         return;
     }
     ++ioRun.nextPart;
     forward(ioRun, {ioRun.request.requestId, inChunk});
 }
 
-void dispatch_service::takeEnd(dispatched_run &ioRun, run_end inEnd)
+void dispatch_service::handleEnd(dispatched_run &ioRun, run_end inEnd)
 {
     if (inEnd.endpoint.empty())
         inEnd.endpoint = ioRun.endpoint;
     if (inEnd.outcome == run_outcome::completed) {
-        leaveEndpoint(ioRun, inEnd);
+        releaseEndpoint(ioRun, inEnd);
         finish(ioRun, std::move(inEnd));
         return;
     }
-    attemptFailed(ioRun, std::move(inEnd));
+    handleFailedAttempt(ioRun, std::move(inEnd));
 }
 
 /// Decides between another attempt, the continuation of a stream and the end of the run.
-void dispatch_service::attemptFailed(dispatched_run &ioRun, run_end inEnd)
+void dispatch_service::handleFailedAttempt(dispatched_run &ioRun, run_end inEnd)
 {
     const core::time_point now = core::boot_clock::now();
-    const bool partReached = ioRun.nextPart > 0;
-    if (partReached && inEnd.outcome == run_outcome::not_run
+    const bool partDelivered = ioRun.nextPart > 0;
+    if (partDelivered && inEnd.outcome == run_outcome::not_run
         && ioRun.resumptions < cMaxResumptions) {
         // The instance does not own the endpoint (any more); the stream itself still exists.
         ++ioRun.resumptions;
@@ -301,26 +301,26 @@
         ioRun.nextAttempt = now + std::min(cEndpointPoll * ioRun.resumptions, cResumeDelayLimit);
         return;
     }
-    if (partReached && inEnd.outcome == run_outcome::not_run)
+    if (partDelivered && inEnd.outcome == run_outcome::not_run)
         inEnd = unknownEnd(core::error_kind::outcome_unknown, "the stream could not be continued");
     ioRun.refusedBy.insert(ioRun.endpoint);
-    leaveEndpoint(ioRun, inEnd);
+    releaseEndpoint(ioRun, inEnd);
     // A change of owner returns all waiting runs at once, and each was only to be sent elsewhere.
     const bool redirected
         = inEnd.outcome == run_outcome::not_run && inEnd.error.kind == core::error_kind::conflict;
     repeatOrFinish(ioRun, std::move(inEnd), !redirected);
 }
 
-void dispatch_service::repeatOrFinish(dispatched_run &ioRun, run_end inEnd, bool inBudgeted)
+void dispatch_service::repeatOrFinish(dispatched_run &ioRun, run_end inEnd, bool inUseRetryBudget)
 {
     const core::time_point now = core::boot_clock::now();
     ioRun.mayHaveRun = ioRun.mayHaveRun || inEnd.outcome == run_outcome::unknown;
     const failed_attempt failed{.outcome = inEnd.outcome,
                                 .repeatable = ioRun.request.repeatable,
-                                .partReached = ioRun.nextPart > 0,
+                                .partDelivered = ioRun.nextPart > 0,
                                 .attempts = ioRun.attempts,
                                 .remaining = ioRun.request.deadline - now};
-    if (!mayRepeat(failed) || (inBudgeted && !takeRetryBudget())) {
+    if (!mayRepeat(failed) || (inUseRetryBudget && !takeRetryBudget())) {
         finish(ioRun, std::move(inEnd));
         return;
     }
@@ -330,7 +330,7 @@
 }
 
 /// The instance that the run was sent to is gone, or messages between it and this one were lost.
-void dispatch_service::ownerLost(dispatched_run &ioRun, std::string_view inReason)
+void dispatch_service::handleOwnerLost(dispatched_run &ioRun, std::string_view inReason)
 {
     const core::time_point now = core::boot_clock::now();
     if (ioRun.nextPart > 0) {
@@ -348,19 +348,19 @@
 }
 
 /// The stream went silent or has a gap although its owner is reachable: it is asked for again.
-void dispatch_service::streamLost(dispatched_run &ioRun, std::string_view inReason)
+void dispatch_service::handleStreamLost(dispatched_run &ioRun, std::string_view inReason)
 {
     if (++ioRun.resumptions > cMaxResumptions) {
         cancelAtOwner(ioRun);
-        takeEnd(ioRun, unknownEnd(core::error_kind::outcome_unknown, inReason));
+        handleEnd(ioRun, unknownEnd(core::error_kind::outcome_unknown, inReason));
         return;
     }
     if (ioRun.nextPart == 0)
         cancelAtOwner(ioRun);
-    ownerLost(ioRun, inReason);
+    handleOwnerLost(ioRun, inReason);
 }
 
-void dispatch_service::leaveEndpoint(dispatched_run &ioRun, const run_end &inEnd)
+void dispatch_service::releaseEndpoint(dispatched_run &ioRun, const run_end &inEnd)
 {
     const core::time_point now = core::boot_clock::now();
     if (ioRun.endpoint.empty())
@@ -411,10 +411,10 @@
             lost.push_back(id);
     }
     for (const std::string &id : lost)
-        ownerLost(*mRuns.at(id), "the instance that ran the request stopped");
+        handleOwnerLost(*mRuns.at(id), "the instance that ran the request stopped");
 }
 
-void dispatch_service::applyLost(const peer_lost &inLost)
+void dispatch_service::handlePeerLost(const peer_lost &inLost)
 {
     mDirectory.setConnected(inLost.instance, false);
     std::vector<std::string> affected;
@@ -426,7 +426,7 @@
             affected.push_back(id);
     }
     for (const std::string &id : affected)
-        ownerLost(*mRuns.at(id), "the connection to the instance that ran the request was lost");
+        handleOwnerLost(*mRuns.at(id), "the connection to the instance that ran the request was lost");
 }
 
 void dispatch_service::sweep()
@@ -460,12 +460,12 @@
             ? unknownEnd(core::error_kind::timeout, "the request was not answered in time")
             : notRunEnd(core::error_kind::timeout, "no endpoint took the request in time");
         end.endpoint = ioRun.endpoint;
-        leaveEndpoint(ioRun, end);
+        releaseEndpoint(ioRun, end);
         finish(ioRun, std::move(end));
     } else if (ioRun.nextAttempt) {
         attempt(ioRun);
     } else {
-        streamLost(ioRun, "the stream went silent");
+        handleStreamLost(ioRun, "the stream went silent");
     }
 }
 
--- a/corneltally/entry/dispatch_service.h
+++ b/corneltally/entry/dispatch_service.h
@@ -51,23 +51,23 @@
     void submit(dispatched_run &ioRun, const std::string &inOwner, core::time_point inNow);
     void waitForEndpoint(dispatched_run &ioRun, core::time_point inNow);
 
-    void takeEvent(const run_event &inEvent, const std::string &inFrom);
-    void takeChunk(dispatched_run &ioRun, const run_chunk &inChunk);
-    void takeServiceAnswer(const std::string &inRequestId,
+    void handleEvent(const run_event &inEvent, const std::string &inFrom);
+    void handleChunk(dispatched_run &ioRun, const run_chunk &inChunk);
+    void handleServiceAnswer(const std::string &inRequestId,
                            const endpoint::service_answer &inAnswer);
-    void takeEnd(dispatched_run &ioRun, run_end inEnd);
-    void attemptFailed(dispatched_run &ioRun, run_end inEnd);
-    void repeatOrFinish(dispatched_run &ioRun, run_end inEnd, bool inBudgeted);
-    void ownerLost(dispatched_run &ioRun, std::string_view inReason);
-    void streamLost(dispatched_run &ioRun, std::string_view inReason);
+    void handleEnd(dispatched_run &ioRun, run_end inEnd);
+    void handleFailedAttempt(dispatched_run &ioRun, run_end inEnd);
+    void repeatOrFinish(dispatched_run &ioRun, run_end inEnd, bool inUseRetryBudget);
+    void handleOwnerLost(dispatched_run &ioRun, std::string_view inReason);
+    void handleStreamLost(dispatched_run &ioRun, std::string_view inReason);
 
-    void leaveEndpoint(dispatched_run &ioRun, const run_end &inEnd);
+    void releaseEndpoint(dispatched_run &ioRun, const run_end &inEnd);
     void cancelAtOwner(const dispatched_run &inRun);
     void finish(dispatched_run &ioRun, run_end inEnd);
     void forward(const dispatched_run &inRun, run_event inEvent);
 
     void applyPeers(const peers_changed &inChange);
-    void applyLost(const peer_lost &inLost);
+    void handlePeerLost(const peer_lost &inLost);
     void sweep();
     void sweepRun(dispatched_run &ioRun, core::time_point inNow);
     bool takeRetryBudget();
--- a/tests/unit/entry_dispatch_rules_test.cpp
+++ b/tests/unit/entry_dispatch_rules_test.cpp
@@ -22,7 +22,7 @@
     failed_attempt repeatable = unknown;
     repeatable.repeatable = true;
     CHECK(mayRepeat(repeatable));
-    repeatable.partReached = true;
+    repeatable.partDelivered = true;
     CHECK_FALSE(mayRepeat(repeatable));
 }
 
