--- a/corneltally/entry/dispatch_rules.cpp
+++ b/corneltally/entry/dispatch_rules.cpp
@@ -10,8 +10,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr core::duration cFirstDelayBound = 20ms;
-constexpr core::duration cLastDelayBound = 1s;
+constexpr core::duration cInitialDelayBound = 20ms;
+constexpr core::duration cMaxDelayBound = 1s;
 
 } // namespace
 
@@ -27,7 +27,7 @@
 {
     // The 53 bits that a double holds give a number in [0, 1).
     const double uniform = static_cast<double>(inRandom >> 11U) * 0x1p-53;
-    return limits::retryDelay(inAttempts - 1, cFirstDelayBound, cLastDelayBound, uniform);
+    return limits::retryDelay(inAttempts - 1, cInitialDelayBound, cMaxDelayBound, uniform);
 }
 
 std::optional<std::size_t> chooseService(std::span<const service_option> inOptions,
--- a/corneltally/entry/dispatch_service.cpp
+++ b/corneltally/entry/dispatch_service.cpp
@@ -19,16 +19,16 @@
 constexpr core::duration cSweepPeriod = 20ms;
 /// Longest wait for an endpoint that takes the run: peers detect a dead owner in 2 s and take its
 /// endpoints over within 3 s.
-constexpr core::duration cEndpointWait = 5s;
-constexpr core::duration cEndpointPoll = 50ms;
+constexpr core::duration cMaxEndpointWait = 5s;
+constexpr core::duration cEndpointPollPeriod = 50ms;
 /// Refusals to continue a stream before it is given up. With their delays they span the time in
 /// which a draining owner, which continues no streams, hands its endpoint over.
 constexpr int cMaxResumptions = 20;
-constexpr core::duration cResumeDelayLimit = 1s;
+constexpr core::duration cMaxResumeDelay = 1s;
 constexpr core::duration cPrunePeriod = 5s;
 /// A call to a service that may be repeated gets this part of the remaining time, so that a
 /// connection that went silent leaves time for another attempt.
-constexpr int cServiceTimeParts = 2;
+constexpr int cServiceTimeoutDivisor = 2;
 
 run_end unknownEnd(core::error_kind inKind, std::string_view inReason)
 {
@@ -52,7 +52,7 @@
     , mMetrics(inMetrics)
     , mInstance(std::move(inInstance))
     , mDirectory(mInstance)
-    , mServices(inRegistry.loop())
+    , mServiceClient(inRegistry.loop())
     , mSweep(inRegistry.loop(), [this] { sweep(); })
     , mRandom(std::random_device()())
     , mRetryBudget(core::boot_clock::now())
@@ -99,7 +99,7 @@
     auto added = std::make_unique<dispatched_run>();
     added->request = inRun;
     added->startedAt = now;
-    added->lastEvent = now;
+    added->lastEventAt = now;
     dispatched_run &running = *added;
     mRuns.insert_or_assign(inRun.requestId, std::move(added));
     attempt(running);
@@ -113,7 +113,7 @@
     dispatched_run &running = *found->second;
     cancelAtOwner(running);
     if (running.call)
-        mServices.cancel(*running.call);
+        mServiceClient.cancel(*running.call);
     if (!running.endpoint.empty())
         mDirectory.abandoned(running.request, running.endpoint, core::boot_clock::now());
     mRuns.erase(found);
@@ -134,11 +134,11 @@
 void dispatch_service::attemptModel(dispatched_run &ioRun, core::time_point inNow)
 {
     std::optional<std::string> chosen
-        = mDirectory.chooseModel(ioRun.request, ioRun.refusedBy, inNow, mRandom());
+        = mDirectory.chooseModel(ioRun.request, ioRun.failedEndpoints, inNow, mRandom());
     const std::optional<std::string> owner = chosen ? mDirectory.ownerOf(*chosen) : std::nullopt;
     if (!owner) {
         // All that refused it once may take it later.
-        ioRun.refusedBy.clear();
+        ioRun.failedEndpoints.clear();
         waitForEndpoint(ioRun, inNow);
         return;
     }
@@ -153,7 +153,7 @@
 {
     const std::optional<std::string> owner = mDirectory.ownerOf(ioRun.endpoint);
     if (!owner) {
-        ioRun.nextAttempt = inNow + cEndpointPoll;
+        ioRun.nextAttempt = inNow + cEndpointPollPeriod;
         return;
     }
     mMetrics.count("streams_resumed_total");
@@ -164,7 +164,7 @@
                               core::time_point inNow)
 {
     ioRun.owner = inOwner;
-    ioRun.lastEvent = inNow;
+    ioRun.lastEventAt = inNow;
     run_submit message{.request = ioRun.request,
                        .endpoint = ioRun.endpoint,
                        .origin = mInstance,
@@ -179,8 +179,8 @@
 
 void dispatch_service::waitForEndpoint(dispatched_run &ioRun, core::time_point inNow)
 {
-    if (inNow - ioRun.startedAt < cEndpointWait && inNow + cEndpointPoll < ioRun.request.deadline) {
-        ioRun.nextAttempt = inNow + cEndpointPoll;
+    if (inNow - ioRun.startedAt < cMaxEndpointWait && inNow + cEndpointPollPeriod < ioRun.request.deadline) {
+        ioRun.nextAttempt = inNow + cEndpointPollPeriod;
         return;
     }
     finish(ioRun,
@@ -191,7 +191,7 @@
 void dispatch_service::attemptService(dispatched_run &ioRun, core::time_point inNow)
 {
     std::optional<std::string> chosen
-        = mDirectory.chooseService(ioRun.request, ioRun.refusedBy, inNow, mRandom());
+        = mDirectory.chooseService(ioRun.request, ioRun.failedEndpoints, inNow, mRandom());
     if (!chosen) {
         waitForEndpoint(ioRun, inNow);
         return;
@@ -200,13 +200,13 @@
     ++ioRun.attempts;
     ioRun.endpoint = std::move(*chosen);
     ioRun.owner.clear();
-    ioRun.lastEvent = inNow;
+    ioRun.lastEventAt = inNow;
     mDirectory.started(request, ioRun.endpoint, inNow);
     core::duration timeout = request.deadline - inNow;
     if (request.repeatable && ioRun.attempts < cMaxAttempts)
-        timeout /= cServiceTimeParts;
+        timeout /= cServiceTimeoutDivisor;
     ioRun.call
-        = mServices.call({.target = http::parseAddress(mDirectory.find(ioRun.endpoint)->address),
+        = mServiceClient.call({.target = http::parseAddress(mDirectory.find(ioRun.endpoint)->address),
                           .method = request.method,
                           .path = request.path,
                           .contentType = request.contentType,
@@ -252,7 +252,7 @@
     if (found == mRuns.end() || found->second->owner != inFrom || found->second->nextAttempt)
         return;
     dispatched_run &running = *found->second;
-    running.lastEvent = core::boot_clock::now();
+    running.lastEventAt = core::boot_clock::now();
     if (const auto *head = std::get_if<run_head>(&inEvent.event)) {
         if (!std::exchange(running.headSent, true))
             forward(running, {inEvent.requestId, *head});
@@ -298,12 +298,12 @@
         // The instance does not own the endpoint (any more); the stream itself still exists.
         ++ioRun.resumptions;
         ioRun.owner.clear();
-        ioRun.nextAttempt = now + std::min(cEndpointPoll * ioRun.resumptions, cResumeDelayLimit);
+        ioRun.nextAttempt = now + std::min(cEndpointPollPeriod * ioRun.resumptions, cMaxResumeDelay);
         return;
     }
     if (partDelivered && inEnd.outcome == run_outcome::not_run)
         inEnd = unknownEnd(core::error_kind::outcome_unknown, "the stream could not be continued");
-    ioRun.refusedBy.insert(ioRun.endpoint);
+    ioRun.failedEndpoints.insert(ioRun.endpoint);
     releaseEndpoint(ioRun, inEnd);
     // A change of owner returns all waiting runs at once, and each was only to be sent elsewhere.
     const bool redirected
@@ -335,7 +335,7 @@
     const core::time_point now = core::boot_clock::now();
     if (ioRun.nextPart > 0) {
         ioRun.owner.clear();
-        ioRun.nextAttempt = now + cEndpointPoll;
+        ioRun.nextAttempt = now + cEndpointPollPeriod;
         return;
     }
     // The endpoint is not to blame. The loss of an instance concerns only the runs that it has, so
@@ -435,7 +435,7 @@
     std::vector<std::string> due;
     for (const auto &[id, running] : mRuns) {
         const bool silent = running->request.stream && !running->owner.empty()
-            && running->nextPart > 0 && now - running->lastEvent > running->request.streamIdle;
+            && running->nextPart > 0 && now - running->lastEventAt > running->request.streamIdle;
         if (now >= running->request.deadline || silent
             || (running->nextAttempt && now >= *running->nextAttempt))
             due.push_back(id);
@@ -455,7 +455,7 @@
             || (ioRun.lastFailure && ioRun.lastFailure->outcome == run_outcome::unknown);
         cancelAtOwner(ioRun);
         if (ioRun.call)
-            mServices.cancel(*ioRun.call);
+            mServiceClient.cancel(*ioRun.call);
         run_end end = sent
             ? unknownEnd(core::error_kind::timeout, "the request was not answered in time")
             : notRunEnd(core::error_kind::timeout, "no endpoint took the request in time");
--- a/corneltally/entry/dispatch_service.h
+++ b/corneltally/entry/dispatch_service.h
@@ -76,7 +76,7 @@
     core::metrics &mMetrics;
     std::string mInstance;
     endpoint_directory mDirectory;
-    endpoint::service_client mServices;
+    endpoint::service_client mServiceClient;
     kernel::timer mSweep;
     run_map mRuns;
     std::mt19937_64 mRandom;
--- a/corneltally/entry/dispatched_run.h
+++ b/corneltally/entry/dispatched_run.h
@@ -19,7 +19,7 @@
     run request;
     core::time_point startedAt;
     /// Last sign of the run from the current owner.
-    core::time_point lastEvent;
+    core::time_point lastEventAt;
     /// Where the current attempt runs; empty between attempts.
     std::string endpoint;
     /// Instance that the current attempt was sent to; empty for application services.
@@ -32,7 +32,7 @@
     bool mayHaveRun = false;
     /// Parts that were passed to the front end.
     std::uint64_t nextPart = 0;
-    std::set<std::string, std::less<>> refusedBy;
+    std::set<std::string, std::less<>> failedEndpoints;
     /// When the next attempt is made; set between attempts.
     std::optional<core::time_point> nextAttempt;
     std::optional<endpoint::service_client::call_id> call;
