--- a/corneltally/entry/admission_service.cpp
+++ b/corneltally/entry/admission_service.cpp
@@ -13,11 +13,11 @@
 using namespace std::chrono_literals;
 
 /// Name of the weight store's limit in loan messages; no account name starts with a slash.
-constexpr std::string_view cWeightStore = "/weight_store";
+constexpr std::string_view cWeightStoreLimit = "/weight_store";
 /// A load whose end was not reported counts as ended after this time; a slow load takes seconds.
 constexpr core::duration cMaxLoadTime = 60s;
 /// A load takes about 250 ms, so that a place among the loads in flight is free after this time.
-constexpr core::duration cLoadRetry = 100ms;
+constexpr core::duration cLoadRetryDelay = 100ms;
 
 int wholeSeconds(core::duration inDelay)
 {
@@ -117,13 +117,14 @@
     const bool isListed = catalog.findInstance(mInstance) != nullptr;
     const double share = mIgnoreShares ? 1.0 : 1.0 / instances;
     const double fraction = isListed ? share : 0.0;
-    std::set<std::string, std::less<>> names{std::string(cWeightStore)};
+    std::set<std::string, std::less<>> names{std::string(cWeightStoreLimit)};
     for (const auto &[account, view] : catalog.accounts()) {
         names.insert(account);
         setLimit(account, view.rateTokensPerSecond, view.burstTokens, fraction, now);
     }
     // A burst of one load per instance: a share below one load could never be spent.
-    setLimit(std::string(cWeightStore), catalog.weightLoadsPerSecond(), instances, fraction, now);
+    setLimit(std::string(cWeightStoreLimit), catalog.weightLoadsPerSecond(), instances, fraction,
+             now);
     mMaxLoadsInFlight = std::max<std::size_t>(
         1, static_cast<std::size_t>(std::floor(catalog.weightLoadsInFlight() * fraction)));
     removeLimits(names, now);
@@ -238,14 +239,14 @@
     const core::time_point now = core::boot_clock::now();
     std::erase_if(mLoadsInFlight, [&](const auto &inItem) { return inItem.second <= now; });
     const std::string key = loadKey(inAdmit);
-    const auto found = mLimits.find(cWeightStore);
+    const auto found = mLimits.find(cWeightStoreLimit);
     if (found == mLimits.end()
         || mLoadsInFlight.size() + mWaitingLoads.size() >= mMaxLoadsInFlight) {
         mRegistry.post("owner",
                        weight_load_result{.endpoint = inAdmit.endpoint,
                                           .adapter = inAdmit.adapter,
                                           .version = inAdmit.version,
-                                          .retryAfter = cLoadRetry});
+                                          .retryAfter = cLoadRetryDelay});
         return;
     }
     if (!mWaitingLoads.emplace(key, inAdmit).second)
@@ -266,10 +267,10 @@
     for (const limits::shared_limiter::decision &decision : actions.decisions) {
         const bool isAdmitted = decision.outcome == limits::limiter_outcome::admitted;
         (isAdmitted ? entry.admitted : entry.refused) += 1;
-        if (inLimit->first == cWeightStore)
-            reportLoad(decision);
+        if (inLimit->first == cWeightStoreLimit)
+            postLoadDecision(decision);
         else
-            report(inLimit->first, decision);
+            postDecision(inLimit->first, decision);
     }
     if (actions.ask)
         mRegistry.post("peers",
@@ -309,8 +310,8 @@
     mWakeTimer.startOnce(mWakes.begin()->first - core::boot_clock::now());
 }
 
-void admission_service::report(const std::string &inName,
-                               const limits::shared_limiter::decision &inDecision)
+void admission_service::postDecision(const std::string &inName,
+                                     const limits::shared_limiter::decision &inDecision)
 {
     mWaitingAccounts.erase(inDecision.requestId);
     switch (inDecision.outcome) {
@@ -334,7 +335,7 @@
     }
 }
 
-void admission_service::reportLoad(const limits::shared_limiter::decision &inDecision)
+void admission_service::postLoadDecision(const limits::shared_limiter::decision &inDecision)
 {
     const auto found = mWaitingLoads.find(inDecision.requestId);
     if (found == mWaitingLoads.end())
@@ -350,7 +351,7 @@
         const core::time_point now = core::boot_clock::now();
         mLoadsInFlight.insert_or_assign(found->first, now + cMaxLoadTime);
         // A load uses its whole token; nothing is given back later.
-        mLimits.find(cWeightStore)->second.limiter->settle(found->first, 1, now);
+        mLimits.find(cWeightStoreLimit)->second.limiter->settle(found->first, 1, now);
     }
     mWaitingLoads.erase(found);
 }
--- a/corneltally/entry/admission_service.h
+++ b/corneltally/entry/admission_service.h
@@ -62,8 +62,9 @@
     void poll(limit_map::iterator inLimit, core::time_point inNow);
     void pollDue();
     void scheduleWake(limit_map::iterator inLimit, std::optional<core::time_point> inWakeAt);
-    void report(const std::string &inName, const limits::shared_limiter::decision &inDecision);
-    void reportLoad(const limits::shared_limiter::decision &inDecision);
+    void postDecision(const std::string &inName,
+                      const limits::shared_limiter::decision &inDecision);
+    void postLoadDecision(const limits::shared_limiter::decision &inDecision);
     void refuse(const std::string &inRequestId, core::error inError, int inRetryAfterSeconds);
 
     kernel::service_registry &mRegistry;
