--- a/corneltally/entry/claims_service.h
+++ b/corneltally/entry/claims_service.h
@@ -38,7 +38,7 @@
     void start() override { readStream(); }
     std::string dump() const override;
 
-    const claims::claim_coordinator &coordinator() const { return mClaims; }
+    const claims::claim_coordinator &coordinator() const { return mCoordinator; }
 
 private:
     using page = platform::read_result;
@@ -46,19 +46,19 @@
     static bool isUsable(const page &inPage, std::uint64_t inFrom);
     void readStream();
     void probeStream();
-    void takePage(const page &inPage);
-    void retryRead(const core::error &inReason);
+    void applyPage(const page &inPage);
+    void handleReadFailure(const core::error &inReason);
     void append(const claims::claim_batch &inBatch);
-    void takeAppend(const std::string &inBatchId, const platform::append_result &inResult);
+    void handleAppendResult(const std::string &inBatchId, const platform::append_result &inResult);
     void applyPause();
     void poll();
-    void post(claims::claim_coordinator::result inResult);
+    void postResult(claims::claim_coordinator::result inResult);
 
     kernel::service_registry &mRegistry;
     std::unique_ptr<Log> mLog;
-    claims::claim_coordinator mClaims;
-    std::string mAppending;
-    bool mProbing = false;
+    claims::claim_coordinator mCoordinator;
+    std::string mAppendingBatchId;
+    bool mIsProbing = false;
     bool mIsUnreachableLogged = false;
     core::duration mRetryDelay;
     std::mt19937_64 mRandom;
@@ -76,13 +76,13 @@
 constexpr std::string_view cStream = "claims";
 /// Bounds the time in which an outage of the log is noticed: a read without an answer is given up
 /// 2 s after it.
-constexpr std::chrono::milliseconds cLogWait{1'000};
+constexpr std::chrono::milliseconds cLogReadWait{1'000};
 /// A record holds up to 256 KiB.
 constexpr int cPageRecords = 64;
 constexpr core::duration cMinRetryDelay = std::chrono::milliseconds(100);
 constexpr core::duration cMaxRetryDelay = std::chrono::seconds(2);
 
-inline claim_outcome outcomeOf(claims::claim_verdict inVerdict)
+inline claim_outcome toOutcome(claims::claim_verdict inVerdict)
 {
     switch (inVerdict) {
     case claims::claim_verdict::granted:
@@ -107,36 +107,36 @@
                                     std::uint64_t inIncarnation)
     : mRegistry(inRegistry)
     , mLog(std::move(inLog))
-    , mClaims(std::move(inInstance), inIncarnation, settings::catalog().claimWindow())
+    , mCoordinator(std::move(inInstance), inIncarnation, settings::catalog().claimWindow())
     , mRetryDelay(claims_detail::cMinRetryDelay)
     , mRandom(std::random_device()())
     , mRetryTimer(inRegistry.loop(), [this] { readStream(); })
     , mWakeTimer(inRegistry.loop(), [this] { poll(); })
 {
     mRegistry.handle<claim_begin>(name(), [this](const claim_begin &inBegin) {
-        mClaims.begin(inBegin.requestId, inBegin.key, inBegin.requestDigest, inBegin.deadline,
-                      core::boot_clock::now());
+        mCoordinator.begin(inBegin.requestId, inBegin.key, inBegin.requestDigest, inBegin.deadline,
+                           core::boot_clock::now());
         poll();
     });
     mRegistry.handle<claim_cancel>(name(), [this](const claim_cancel &inCancel) {
-        mClaims.cancel(inCancel.requestId, core::boot_clock::now());
+        mCoordinator.cancel(inCancel.requestId, core::boot_clock::now());
         poll();
     });
     mRegistry.handle<claim_finish>(name(), [this](const claim_finish &inFinish) {
-        mClaims.finish({.key = inFinish.key,
-                        .claimId = inFinish.claimId,
-                        .status = inFinish.status,
-                        .contentType = inFinish.contentType,
-                        .body = inFinish.body},
-                       core::boot_clock::now());
+        mCoordinator.finish({.key = inFinish.key,
+                             .claimId = inFinish.claimId,
+                             .status = inFinish.status,
+                             .contentType = inFinish.contentType,
+                             .body = inFinish.body},
+                            core::boot_clock::now());
         poll();
     });
     mRegistry.handle<claim_release>(name(), [this](const claim_release &inRelease) {
-        mClaims.release(inRelease.key, inRelease.claimId, core::boot_clock::now());
+        mCoordinator.release(inRelease.key, inRelease.claimId, core::boot_clock::now());
         poll();
     });
     mRegistry.handle<catalog_changed>(name(), [this](const catalog_changed &inChange) {
-        mClaims.setWindow(inChange.catalog->claimWindow());
+        mCoordinator.setWindow(inChange.catalog->claimWindow());
     });
     mRegistry.handle<paused>(name(), [this](const paused &) { applyPause(); });
 }
@@ -146,18 +146,18 @@
 {
     mRetryTimer.cancel();
     // There is nothing to wait for before the end of the stream was seen.
-    const bool mayWait = mClaims.isCaughtUp() && mClaims.isLogReachable();
-    const std::uint64_t from = mClaims.position();
+    const bool mayWait = mCoordinator.isCaughtUp() && mCoordinator.isLogReachable();
+    const std::uint64_t from = mCoordinator.position();
     mLog->read({.stream = std::string(claims_detail::cStream),
                 .from = from,
                 .limit = claims_detail::cPageRecords,
-                .wait = mayWait ? claims_detail::cLogWait : std::chrono::milliseconds(0)},
+                .wait = mayWait ? claims_detail::cLogReadWait : std::chrono::milliseconds(0)},
                [this, from](const page &inPage) {
                    if (isUsable(inPage, from)) {
-                       takePage(inPage);
+                       applyPage(inPage);
                        readStream();
                    } else {
-                       retryRead(inPage.reason);
+                       handleReadFailure(inPage.reason);
                    }
                    poll();
                });
@@ -183,47 +183,47 @@
 template <platform::log_service Log>
 void claims_service<Log>::probeStream()
 {
-    mProbing = true;
+    mIsProbing = true;
     mLog->read({.stream = std::string(claims_detail::cStream),
-                .from = mClaims.position(),
+                .from = mCoordinator.position(),
                 .limit = claims_detail::cPageRecords},
                [this](const page &inPage) {
-                   mProbing = false;
+                   mIsProbing = false;
                    // Failures are left to the other read, which also sets the pace of retries.
                    if (inPage.outcome == platform::read_outcome::records)
-                       takePage(inPage);
+                       applyPage(inPage);
                    if (inPage.outcome != platform::read_outcome::failed)
                        poll();
                });
 }
 
 template <platform::log_service Log>
-void claims_service<Log>::takePage(const page &inPage)
+void claims_service<Log>::applyPage(const page &inPage)
 {
     mRetryDelay = claims_detail::cMinRetryDelay;
     if (mIsUnreachableLogged)
         core::logEvent(core::log_level::info, "claims_log_connected",
-                       {{"from", mClaims.position()}});
+                       {{"from", mCoordinator.position()}});
     mIsUnreachableLogged = false;
     if (inPage.outcome == platform::read_outcome::expired) {
         // At the start, position 0 only asks where the stream begins.
-        if (mClaims.position() > 0)
+        if (mCoordinator.position() > 0)
             core::logEvent(core::log_level::warning, "claims_stream_restarted",
-                           {{"position", mClaims.position()}, {"first", inPage.first}});
-        mClaims.pageExpired(inPage.first);
+                           {{"position", mCoordinator.position()}, {"first", inPage.first}});
+        mCoordinator.pageExpired(inPage.first);
         return;
     }
     std::vector<claims::stream_record> records;
     records.reserve(inPage.records.size());
     for (const platform::log_record &record : inPage.records)
         records.push_back({record.offset, record.timeMs, record.data});
-    mClaims.pageRead(records, inPage.next, inPage.sentAt, core::boot_clock::now());
+    mCoordinator.pageRead(records, inPage.next, inPage.sentAt, core::boot_clock::now());
 }
 
 template <platform::log_service Log>
-void claims_service<Log>::retryRead(const core::error &inReason)
+void claims_service<Log>::handleReadFailure(const core::error &inReason)
 {
-    mClaims.readFailed(core::boot_clock::now());
+    mCoordinator.readFailed(core::boot_clock::now());
     if (!mIsUnreachableLogged)
         core::logEvent(core::log_level::warning, "claims_log_unreachable",
                        {{"reason", inReason.message}, {"remedy", inReason.remedy}});
@@ -238,29 +238,29 @@
 template <platform::log_service Log>
 void claims_service<Log>::append(const claims::claim_batch &inBatch)
 {
-    mAppending = inBatch.id;
+    mAppendingBatchId = inBatch.id;
     mLog->append(std::string(claims_detail::cStream), claims::encodeBatch(inBatch),
                  [this, id = inBatch.id](const platform::append_result &inResult) {
-                     takeAppend(id, inResult);
+                     handleAppendResult(id, inResult);
                      poll();
                  });
 }
 
 template <platform::log_service Log>
-void claims_service<Log>::takeAppend(const std::string &inBatchId,
-                                     const platform::append_result &inResult)
+void claims_service<Log>::handleAppendResult(const std::string &inBatchId,
+                                             const platform::append_result &inResult)
 {
     const core::time_point now = core::boot_clock::now();
     switch (inResult.outcome) {
     case platform::append_outcome::appended:
-        mClaims.batcher().appended(inBatchId);
+        mCoordinator.batcher().appended(inBatchId);
         break;
     case platform::append_outcome::refused:
-        mClaims.batcher().refused(inBatchId, now);
+        mCoordinator.batcher().refused(inBatchId, now);
         break;
     case platform::append_outcome::unknown:
         ++mAppendsUnknown;
-        mClaims.batcher().unknown(inBatchId, now);
+        mCoordinator.batcher().unknown(inBatchId, now);
         break;
     }
 }
@@ -270,8 +270,8 @@
 {
     // Calls from before the pause may never be answered. An append may have taken effect.
     mLog->cancelAll();
-    mProbing = false;
-    mClaims.batcher().unknown(mAppending, core::boot_clock::now());
+    mIsProbing = false;
+    mCoordinator.batcher().unknown(mAppendingBatchId, core::boot_clock::now());
     readStream();
     poll();
 }
@@ -280,12 +280,12 @@
 void claims_service<Log>::poll()
 {
     const core::time_point now = core::boot_clock::now();
-    claims::claim_coordinator::actions actions = mClaims.poll(now);
+    claims::claim_coordinator::actions actions = mCoordinator.poll(now);
     for (claims::claim_coordinator::result &result : actions.results)
-        post(std::move(result));
+        postResult(std::move(result));
     if (actions.append)
         append(*actions.append);
-    if (actions.readNow && !mProbing && mClaims.isLogReachable())
+    if (actions.readNow && !mIsProbing && mCoordinator.isLogReachable())
         probeStream();
     // Timers count milliseconds; the extra one keeps a wake from coming just before its time.
     if (actions.wakeAt)
@@ -296,7 +296,7 @@
 }
 
 template <platform::log_service Log>
-void claims_service<Log>::post(claims::claim_coordinator::result inResult)
+void claims_service<Log>::postResult(claims::claim_coordinator::result inResult)
 {
     const bool isRefused = inResult.verdict == claims::claim_verdict::refused;
     mGranted += inResult.verdict == claims::claim_verdict::granted ? 1 : 0;
@@ -304,7 +304,7 @@
     const double seconds = std::ceil(std::chrono::duration<double>(inResult.retryAfter).count());
     mRegistry.post("front_end",
                    claim_result{.requestId = std::move(inResult.requestId),
-                                .outcome = claims_detail::outcomeOf(inResult.verdict),
+                                .outcome = claims_detail::toOutcome(inResult.verdict),
                                 .claimId = std::move(inResult.claimId),
                                 .status = inResult.status,
                                 .contentType = std::move(inResult.contentType),
@@ -317,13 +317,13 @@
 std::string claims_service<Log>::dump() const
 {
     const auto flag = [](bool inValue) { return inValue ? "true" : "false"; };
-    std::string text = "{\"position\":" + std::to_string(mClaims.position());
-    text.append(",\"caught_up\":").append(flag(mClaims.isCaughtUp()));
-    text.append(",\"log_reachable\":").append(flag(mClaims.isLogReachable()));
-    text.append(",\"keys\":").append(std::to_string(mClaims.table().size()));
-    text.append(",\"pending\":").append(std::to_string(mClaims.pending()));
-    text.append(",\"queued_records\":").append(std::to_string(mClaims.batcher().queued()));
-    text.append(",\"append_failures\":").append(std::to_string(mClaims.batcher().failures()));
+    std::string text = "{\"position\":" + std::to_string(mCoordinator.position());
+    text.append(",\"caught_up\":").append(flag(mCoordinator.isCaughtUp()));
+    text.append(",\"log_reachable\":").append(flag(mCoordinator.isLogReachable()));
+    text.append(",\"keys\":").append(std::to_string(mCoordinator.table().size()));
+    text.append(",\"pending\":").append(std::to_string(mCoordinator.pending()));
+    text.append(",\"queued_records\":").append(std::to_string(mCoordinator.batcher().queued()));
+    text.append(",\"append_failures\":").append(std::to_string(mCoordinator.batcher().failures()));
     text.append(",\"appends_unknown\":").append(std::to_string(mAppendsUnknown));
     text.append(",\"granted\":").append(std::to_string(mGranted));
     text.append(",\"refused\":").append(std::to_string(mRefused)).append("}");
