--- a/corneltally/entry/drain_service.cpp
+++ b/corneltally/entry/drain_service.cpp
@@ -15,20 +15,20 @@
 using namespace std::chrono_literals;
 
 /// Routes bound how long a request runs; this is a last resort against a part that never reports.
-constexpr core::duration cDrainLimit = 10min;
+constexpr core::duration cDrainTimeout = 10min;
 
 } // namespace
 
 drain_service::drain_service(kernel::service_registry &inRegistry)
     : mRegistry(inRegistry)
-    , mLimit(inRegistry.loop(), [this] { giveUp(); })
+    , mTimeoutTimer(inRegistry.loop(), [this] { handleTimeout(); })
 {
     mRegistry.handle<callers_drained>(name(), [this](const callers_drained &inDrained) {
-        mFinished = inDrained.finished;
+        mFinishedRequests = inDrained.finished;
         stopWhenDone();
     });
     mRegistry.handle<endpoints_drained>(name(), [this](const endpoints_drained &inDrained) {
-        mHandedOver = inDrained.handedOver;
+        mHandedOverRuns = inDrained.handedOver;
         stopWhenDone();
     });
     mRegistry.handle<superseded>(name(), [this](const superseded &) { stopSuperseded(); });
@@ -41,26 +41,26 @@
     mStartedAt = core::boot_clock::now();
     core::logEvent(core::log_level::info, "drain_started");
     mRegistry.broadcast(drain_started{});
-    mLimit.startOnce(cDrainLimit);
+    mTimeoutTimer.startOnce(cDrainTimeout);
 }
 
 void drain_service::stopWhenDone()
 {
-    if (!mStartedAt || !mFinished || !mHandedOver)
+    if (!mStartedAt || !mFinishedRequests || !mHandedOverRuns)
         return;
     const core::duration elapsed = core::boot_clock::now() - *mStartedAt;
     core::logEvent(core::log_level::info, "drain_finished",
-                   {{"finished", *mFinished},
-                    {"handed_over", *mHandedOver},
+                   {{"finished", *mFinishedRequests},
+                    {"handed_over", *mHandedOverRuns},
                     {"seconds", std::chrono::duration<double>(elapsed).count()}});
     mRegistry.loop().stop();
 }
 
-void drain_service::giveUp()
+void drain_service::handleTimeout()
 {
     core::logEvent(core::log_level::error, "drain_timed_out",
-                   {{"callers_drained", mFinished.has_value()},
-                    {"endpoints_drained", mHandedOver.has_value()}});
+                   {{"callers_drained", mFinishedRequests.has_value()},
+                    {"endpoints_drained", mHandedOverRuns.has_value()}});
     mRegistry.loop().stop();
 }
 
--- a/corneltally/entry/drain_service.h
+++ b/corneltally/entry/drain_service.h
@@ -34,13 +34,13 @@
 
 private:
     void stopWhenDone();
-    void giveUp();
+    void handleTimeout();
 
     kernel::service_registry &mRegistry;
-    kernel::timer mLimit;
+    kernel::timer mTimeoutTimer;
     std::optional<core::time_point> mStartedAt;
-    std::optional<std::uint64_t> mFinished;
-    std::optional<std::uint64_t> mHandedOver;
+    std::optional<std::uint64_t> mFinishedRequests;
+    std::optional<std::uint64_t> mHandedOverRuns;
 };
 
 } // namespace corneltally::entry
