--- a/corneltally/entry/caller_run.cpp
+++ b/corneltally/entry/caller_run.cpp
@@ -8,10 +8,10 @@
 namespace corneltally::entry {
 
 caller_run::caller_run(std::shared_ptr<http::exchange> inCaller, run inRequest,
-                       core::time_point inStart)
+                       core::time_point inStartedAt)
     : mCaller(std::move(inCaller))
     , mRequest(std::move(inRequest))
-    , mStart(inStart)
+    , mStartedAt(inStartedAt)
 { }
 
 caller_run::~caller_run() = default;
@@ -26,26 +26,26 @@
     return headers;
 }
 
-void caller_run::takeHead(const run_head &inHead)
+void caller_run::setHead(const run_head &inHead)
 {
     mStatus = inHead.status;
     mContentType = inHead.contentType;
 }
 
-bool caller_run::takeChunk(const run_chunk &inChunk)
+bool caller_run::addChunk(const run_chunk &inChunk)
 {
-    ++mParts;
+    ++mPartCount;
     if (!isStreamed()) {
         mBody.append(inChunk.data);
-        mKeptWhole = mBody.size() <= sMaxKeptBytes;
+        mIsAnswerKept = mBody.size() <= sMaxKeptBytes;
         return mBody.size() <= sMaxAnswerBytes;
     }
     const std::string event = streamEvent(inChunk.data);
-    mDoneSeen = mDoneSeen || event == cStreamDone;
-    mKeptWhole = mKeptWhole && mKept.size() + event.size() <= sMaxKeptBytes;
-    if (mKeptWhole && !claimKey.empty())
-        mKept.append(event);
-    if (isCallerGone())
+    mIsDoneSent = mIsDoneSent || event == cStreamDone;
+    mIsAnswerKept = mIsAnswerKept && mKeptStream.size() + event.size() <= sMaxKeptBytes;
+    if (mIsAnswerKept && !claimKey.empty())
+        mKeptStream.append(event);
+    if (isClosedOrAnswered())
         return true;
     if (!mCaller->isStreaming())
         mCaller->startStream(mStatus, answerHeaders("text/event-stream"));
@@ -55,7 +55,7 @@
 
 void caller_run::finish()
 {
-    if (isCallerGone())
+    if (isClosedOrAnswered())
         return;
     if (!isStreamed()) {
         mCaller->reply(mStatus, answerHeaders(mContentType), mBody);
@@ -63,7 +63,7 @@
     }
     if (!mCaller->isStreaming())
         mCaller->startStream(mStatus, answerHeaders("text/event-stream"));
-    if (!mDoneSeen)
+    if (!mIsDoneSent)
         mCaller->sendChunk(cStreamDone);
     mCaller->endStream();
 }
@@ -72,7 +72,7 @@
 {
     const std::string body = errorBody(inError, mRequest.requestId);
     mStatus = core::httpStatus(inError.error.kind);
-    if (isCallerGone())
+    if (isClosedOrAnswered())
         return;
     if (mCaller->isStreaming()) {
         mCaller->sendChunk(streamEvent(body));
@@ -88,20 +88,20 @@
 void caller_run::replay(int inStatus, const std::string &inContentType, const std::string &inBody)
 {
     mStatus = inStatus;
-    if (isCallerGone())
+    if (isClosedOrAnswered())
         return;
     http::header_list headers = answerHeaders(inContentType);
     headers.emplace_back("Idempotent-Replay", "true");
     mCaller->reply(inStatus, headers, inBody);
 }
 
-void caller_run::dropCaller()
+void caller_run::abortConnection()
 {
-    if (!isCallerGone())
+    if (!isClosedOrAnswered())
         mCaller->abort();
 }
 
-bool caller_run::isCallerGone() const
+bool caller_run::isClosedOrAnswered() const
 {
     return mCaller->isClosed() || mCaller->isAnswered();
 }
--- a/corneltally/entry/front_end_service.cpp
+++ b/corneltally/entry/front_end_service.cpp
@@ -238,10 +238,10 @@
         claimOrStart(running);
         return;
     }
-    running.charged = running.request().promptTokens + running.request().maxTokens;
+    running.chargedTokens = running.request().promptTokens + running.request().maxTokens;
     mRegistry.post(
         "admission",
-        admit{id, running.request().account, running.charged, running.request().deadline});
+        admit{id, running.request().account, running.chargedTokens, running.request().deadline});
 }
 
 /// Reads the idempotency headers. Repeatable routes need no claim, unless they ask for a key.
@@ -282,10 +282,10 @@
         return;
     caller_run &running = *found->second;
     if (inResult.error) {
-        running.charged = 0;
+        running.chargedTokens = 0;
         failRun(running,
                 {.error = *inResult.error, .retryAfterSeconds = inResult.retryAfterSeconds});
-    } else if (running.leftAt) {
+    } else if (running.disconnectedAt) {
         settleTokens(running, 0);
         complete(running, "caller_left", {});
     } else {
@@ -319,7 +319,7 @@
     running.claimId = inResult.claimId;
     switch (inResult.outcome) {
     case claim_outcome::granted:
-        if (running.leftAt) {
+        if (running.disconnectedAt) {
             mRegistry.post("claims", claim_release{running.claimKey, running.claimId});
             settleTokens(running, 0);
             complete(running, "caller_left", {});
@@ -358,12 +358,12 @@
         return;
     caller_run &running = *found->second;
     if (const auto *head = std::get_if<run_head>(&inEvent.event)) {
-        running.takeHead(*head);
+        running.setHead(*head);
     } else if (const auto *end = std::get_if<run_end>(&inEvent.event)) {
         takeEnd(running, *end);
     } else {
         const bool first = running.partCount() == 0;
-        if (!running.takeChunk(std::get<run_chunk>(inEvent.event))) {
+        if (!running.addChunk(std::get<run_chunk>(inEvent.event))) {
             stopRun(running,
                     {.error = {core::error_kind::internal, "the answer is too long",
                                "ask for a shorter answer, or for a stream"},
@@ -378,7 +378,7 @@
         // An aborted exchange does not report its end by itself.
         if (running.pendingBytes() > mOptions.maxUnsentBytes) {
             mMetrics.count("callers_closed_total{reason=\"unread\"}");
-            running.dropCaller();
+            running.abortConnection();
             callerLeft(inEvent.requestId);
         }
     }
@@ -404,7 +404,7 @@
     const bool mayHaveRun = inEnd.outcome == run_outcome::unknown;
     if (!mayHaveRun && !ioRun.claimId.empty())
         mRegistry.post("claims", claim_release{ioRun.claimKey, ioRun.claimId});
-    settleTokens(ioRun, mayHaveRun ? ioRun.charged : 0);
+    settleTokens(ioRun, mayHaveRun ? ioRun.chargedTokens : 0);
     failRun(ioRun,
             {.error = inEnd.error,
              .mayHaveRun = mayHaveRun,
@@ -415,10 +415,10 @@
 void front_end_service::callerLeft(const std::string &inRequestId)
 {
     const auto found = mRuns.find(inRequestId);
-    if (found == mRuns.end() || found->second->leftAt)
+    if (found == mRuns.end() || found->second->disconnectedAt)
         return;
     caller_run &running = *found->second;
-    running.leftAt = core::boot_clock::now();
+    running.disconnectedAt = core::boot_clock::now();
     switch (running.currentPhase) {
     case caller_run::phase::admitting:
         mRegistry.post("admission", admit_cancel{inRequestId});
@@ -434,7 +434,7 @@
         settleTokens(running,
                      running.request().stream ? running.request().promptTokens
                              + static_cast<double>(running.partCount()) + cCancelOverrun
-                                              : running.charged);
+                                              : running.chargedTokens);
         complete(running, "caller_left", {});
         break;
     }
@@ -456,7 +456,7 @@
     switch (ioRun.currentPhase) {
     case caller_run::phase::admitting:
         mRegistry.post("admission", admit_cancel{id});
-        ioRun.charged = 0;
+        ioRun.chargedTokens = 0;
         break;
     case caller_run::phase::claiming:
         mRegistry.post("claims", claim_cancel{id});
@@ -464,7 +464,7 @@
         break;
     case caller_run::phase::running:
         mRegistry.post("dispatch", run_abandon{id});
-        settleTokens(ioRun, ioRun.charged);
+        settleTokens(ioRun, ioRun.chargedTokens);
         error.mayHaveRun = true;
         break;
     }
@@ -473,12 +473,12 @@
 
 void front_end_service::settleTokens(caller_run &ioRun, double inUsed)
 {
-    if (ioRun.charged <= 0)
+    if (ioRun.chargedTokens <= 0)
         return;
     mRegistry.post("admission",
-                   settle{ioRun.request().account, ioRun.charged, std::min(inUsed, ioRun.charged),
-                          ioRun.request().requestId});
-    ioRun.charged = 0;
+                   settle{ioRun.request().account, ioRun.chargedTokens,
+                          std::min(inUsed, ioRun.chargedTokens), ioRun.request().requestId});
+    ioRun.chargedTokens = 0;
 }
 
 void front_end_service::complete(caller_run &ioRun, std::string_view inOutcome,
@@ -544,7 +544,8 @@
         resumeHeld();
     std::vector<std::string> overdue;
     for (const auto &[id, running] : mRuns) {
-        const bool cancelled = running->leftAt && now - *running->leftAt > cCancelMargin
+        const bool cancelled = running->disconnectedAt
+            && now - *running->disconnectedAt > cCancelMargin
             && running->currentPhase != caller_run::phase::running;
         if (cancelled || now > running->request().deadline + cAnswerMargin)
             overdue.push_back(id);
