--- a/corneltally/entry/front_end_service.cpp
+++ b/corneltally/entry/front_end_service.cpp
@@ -68,7 +68,7 @@
     , mMetrics(inMetrics)
     , mOptions(std::move(inOptions))
     , mServer(
-          inRegistry.loop(), [this](const exchange_pointer &inCaller) { receive(inCaller); },
+          inRegistry.loop(), [this](const exchange_pointer &inCaller) { handleRequest(inCaller); },
           serverLimits(mOptions.limits))
     , mSweep(inRegistry.loop(), [this] { sweep(); })
 {
@@ -82,10 +82,10 @@
     mRegistry.handle<paused>(
         name(), [this](const paused &) { mHoldUntil = core::boot_clock::now() + cPauseHold; });
     mRegistry.handle<admission_result>(
-        name(), [this](const admission_result &inResult) { continueAdmitted(inResult); });
+        name(), [this](const admission_result &inResult) { handleAdmissionResult(inResult); });
     mRegistry.handle<claim_result>(
-        name(), [this](const claim_result &inResult) { continueClaimed(inResult); });
-    mRegistry.handle<run_event>(name(), [this](const run_event &inEvent) { takeEvent(inEvent); });
+        name(), [this](const claim_result &inResult) { handleClaimResult(inResult); });
+    mRegistry.handle<run_event>(name(), [this](const run_event &inEvent) { handleEvent(inEvent); });
     mRegistry.handle<drain_started>(
         name(), [this](const drain_started &) { mDrainingSince = core::boot_clock::now(); });
 }
@@ -113,7 +113,7 @@
         + std::to_string(++mRequestCount);
 }
 
-void front_end_service::receive(const exchange_pointer &inCaller)
+void front_end_service::handleRequest(const exchange_pointer &inCaller)
 {
     mLastRequest = core::boot_clock::now();
     if (mHoldUntil)
@@ -166,7 +166,7 @@
     }
     run accepted = std::move(request).value();
     accepted.account = identity->account;
-    begin(inCaller, *route, std::move(accepted), identity->keyDigest);
+    beginRequest(inCaller, *route, std::move(accepted), identity->keyDigest);
 }
 
 std::optional<caller_error> front_end_service::checkSettingsAge(std::string_view inAccount) const
@@ -217,8 +217,9 @@
                        .append("\"}"));
 }
 
-void front_end_service::begin(const exchange_pointer &inCaller, const settings::route_view &inRoute,
-                              run inRun, std::string inKeyDigest)
+void front_end_service::beginRequest(const exchange_pointer &inCaller,
+                                     const settings::route_view &inRoute, run inRun,
+                                     std::string inKeyDigest)
 {
     const core::time_point now = core::boot_clock::now();
     inRun.requestId = nextRequestId();
@@ -226,13 +227,13 @@
     auto added = std::make_unique<caller_run>(inCaller, std::move(inRun), now);
     added->keyDigest = std::move(inKeyDigest);
     added->closeAfterAnswer = mDrainingSince.has_value();
-    if (const std::optional<core::error> unusable = readClaim(*added, inRoute)) {
+    if (const std::optional<core::error> unusable = readIdempotencyHeaders(*added, inRoute)) {
         refuse(inCaller, {.error = *unusable}, added->request().account);
         return;
     }
     caller_run &running = *added;
     const std::string &id = running.request().requestId;
-    inCaller->onClosed([this, id] { callerLeft(id); });
+    inCaller->onClosed([this, id] { handleDisconnect(id); });
     mRuns.emplace(id, std::move(added));
     if (running.request().account.empty()) {
         claimOrStart(running);
@@ -245,8 +246,8 @@
 }
 
 /// Reads the idempotency headers. Repeatable routes need no claim, unless they ask for a key.
-std::optional<core::error> front_end_service::readClaim(caller_run &ioRun,
-                                                        const settings::route_view &inRoute)
+std::optional<core::error>
+front_end_service::readIdempotencyHeaders(caller_run &ioRun, const settings::route_view &inRoute)
 {
     const http::exchange &caller = *ioRun.caller();
     const std::string_view key = caller.header("Idempotency-Key");
@@ -275,7 +276,7 @@
     return std::nullopt;
 }
 
-void front_end_service::continueAdmitted(const admission_result &inResult)
+void front_end_service::handleAdmissionResult(const admission_result &inResult)
 {
     const auto found = mRuns.find(inResult.requestId);
     if (found == mRuns.end() || found->second->currentPhase != caller_run::phase::admitting)
@@ -309,7 +310,7 @@
                                ioRun.request().deadline});
 }
 
-void front_end_service::continueClaimed(const claim_result &inResult)
+void front_end_service::handleClaimResult(const claim_result &inResult)
 {
     const auto found = mRuns.find(inResult.requestId);
     if (found == mRuns.end() || found->second->currentPhase != caller_run::phase::claiming) {
@@ -351,7 +352,7 @@
     mRegistry.post("dispatch", run_start{ioRun.request()});
 }
 
-void front_end_service::takeEvent(const run_event &inEvent)
+void front_end_service::handleEvent(const run_event &inEvent)
 {
     const auto found = mRuns.find(inEvent.requestId);
     if (found == mRuns.end())
@@ -360,7 +361,7 @@
     if (const auto *head = std::get_if<run_head>(&inEvent.event)) {
         running.setHead(*head);
     } else if (const auto *end = std::get_if<run_end>(&inEvent.event)) {
-        takeEnd(running, *end);
+        handleEnd(running, *end);
     } else {
         const bool first = running.partCount() == 0;
         if (!running.addChunk(std::get<run_chunk>(inEvent.event))) {
@@ -379,12 +380,12 @@
         if (running.pendingBytes() > mOptions.maxUnsentBytes) {
             mMetrics.count("callers_closed_total{reason=\"unread\"}");
             running.abortConnection();
-            callerLeft(inEvent.requestId);
+            handleDisconnect(inEvent.requestId);
         }
     }
 }
 
-void front_end_service::takeEnd(caller_run &ioRun, const run_end &inEnd)
+void front_end_service::handleEnd(caller_run &ioRun, const run_end &inEnd)
 {
     if (inEnd.outcome == run_outcome::completed) {
         settleTokens(ioRun, ioRun.request().promptTokens + inEnd.outputTokens);
@@ -412,7 +413,7 @@
             inEnd.endpoint);
 }
 
-void front_end_service::callerLeft(const std::string &inRequestId)
+void front_end_service::handleDisconnect(const std::string &inRequestId)
 {
     const auto found = mRuns.find(inRequestId);
     if (found == mRuns.end() || found->second->disconnectedAt)
@@ -580,7 +581,7 @@
         const auto running = std::ranges::find_if(
             mRuns, [&](const auto &inEntry) { return inEntry.second->caller() == caller; });
         if (running != mRuns.end())
-            callerLeft(std::string(running->first));
+            handleDisconnect(std::string(running->first));
     }
 }
 
--- a/corneltally/entry/front_end_service.h
+++ b/corneltally/entry/front_end_service.h
@@ -73,23 +73,24 @@
         core::time_point lastProgress;
     };
 
-    void receive(const exchange_pointer &inCaller);
+    void handleRequest(const exchange_pointer &inCaller);
     void serve(const exchange_pointer &inCaller);
     void listModels(const exchange_pointer &inCaller);
     void refuse(const exchange_pointer &inCaller, const caller_error &inError,
                 std::string_view inAccount);
     std::optional<caller_error> checkSettingsAge(std::string_view inAccount) const;
-    void begin(const exchange_pointer &inCaller, const settings::route_view &inRoute, run inRun,
-               std::string inKeyDigest);
-    std::optional<core::error> readClaim(caller_run &ioRun, const settings::route_view &inRoute);
+    void beginRequest(const exchange_pointer &inCaller, const settings::route_view &inRoute,
+                      run inRun, std::string inKeyDigest);
+    std::optional<core::error> readIdempotencyHeaders(caller_run &ioRun,
+                                                      const settings::route_view &inRoute);
 
-    void continueAdmitted(const admission_result &inResult);
+    void handleAdmissionResult(const admission_result &inResult);
     void claimOrStart(caller_run &ioRun);
-    void continueClaimed(const claim_result &inResult);
+    void handleClaimResult(const claim_result &inResult);
     void startRun(caller_run &ioRun);
-    void takeEvent(const run_event &inEvent);
-    void takeEnd(caller_run &ioRun, const run_end &inEnd);
-    void callerLeft(const std::string &inRequestId);
+    void handleEvent(const run_event &inEvent);
+    void handleEnd(caller_run &ioRun, const run_end &inEnd);
+    void handleDisconnect(const std::string &inRequestId);
     void failRun(caller_run &ioRun, const caller_error &inError, std::string_view inEndpoint = {});
     void stopRun(caller_run &ioRun, const caller_error &inError);
 
