--- a/corneltally/entry/front_end_service.cpp
+++ b/corneltally/entry/front_end_service.cpp
@@ -27,16 +27,16 @@
 constexpr core::duration cWriteTimeout = 10s;
 /// How long requests wait after a pause for proof that the tree, and with it each key, is current.
 /// An instance that is cut off serves after that, as it would without the pause.
-constexpr core::duration cPauseHold = 1s;
+constexpr core::duration cMaxPauseHold = 1s;
 /// Other services answer by the deadline of a request; this is the margin for their messages.
 constexpr core::duration cAnswerMargin = 2s;
 /// How long an answer to a cancelled admission or claim may still be under way.
 constexpr core::duration cCancelMargin = 1s;
 /// Load balancers learn with a lag that an instance drains; it accepts connections meanwhile.
-constexpr core::duration cDrainLag = 1s;
-constexpr core::duration cDrainQuiet = 300ms;
+constexpr core::duration cDrainNoticeDelay = 1s;
+constexpr core::duration cDrainQuietPeriod = 300ms;
 /// Tokens that an engine may generate before a cancellation reaches it.
-constexpr double cCancelOverrun = 16;
+constexpr double cCancelOverrunTokens = 16;
 /// The server closes connections with longer bodies without an error body, so that its limit is a
 /// multiple of the one that is answered.
 constexpr std::uint64_t cServerBodyFactor = 4;
@@ -54,7 +54,7 @@
             .retryAfterSeconds = inRetryAfter};
 }
 
-bool mayBeCutShort(const caller_run &inRun)
+bool mayBeAbandoned(const caller_run &inRun)
 {
     return inRun.claimKey.empty()
         && (inRun.request().kind == settings::endpoint_kind::model || inRun.request().repeatable);
@@ -75,12 +75,13 @@
     mRegistry.handle<catalog_changed>(
         name(), [this](const catalog_changed &inChange) { applyCatalog(inChange); });
     mRegistry.handle<settings_confirmed>(name(), [this](const settings_confirmed &inConfirmed) {
-        mConfirmedAt = std::max(inConfirmed.at, mConfirmedAt.value_or(inConfirmed.at));
-        if (mHoldUntil && *mConfirmedAt >= *mHoldUntil - cPauseHold)
-            resumeHeld();
+        mSettingsConfirmedAt
+            = std::max(inConfirmed.at, mSettingsConfirmedAt.value_or(inConfirmed.at));
+        if (mHoldUntil && *mSettingsConfirmedAt >= *mHoldUntil - cMaxPauseHold)
+            serveHeldRequests();
     });
     mRegistry.handle<paused>(
-        name(), [this](const paused &) { mHoldUntil = core::boot_clock::now() + cPauseHold; });
+        name(), [this](const paused &) { mHoldUntil = core::boot_clock::now() + cMaxPauseHold; });
     mRegistry.handle<admission_result>(
         name(), [this](const admission_result &inResult) { handleAdmissionResult(inResult); });
     mRegistry.handle<claim_result>(
@@ -117,7 +118,7 @@
 {
     mLastRequest = core::boot_clock::now();
     if (mHoldUntil)
-        mHeld.push_back(inCaller);
+        mHeldRequests.push_back(inCaller);
     else
         serve(inCaller);
 }
@@ -175,7 +176,7 @@
     if (account == nullptr || account->maxSettingsAgeSeconds <= 0)
         return std::nullopt;
     const auto limit = std::chrono::seconds(account->maxSettingsAgeSeconds);
-    if (mConfirmedAt && core::boot_clock::now() - *mConfirmedAt <= limit)
+    if (mSettingsConfirmedAt && core::boot_clock::now() - *mSettingsConfirmedAt <= limit)
         return std::nullopt;
     return notRun(core::error_kind::unavailable,
                   "the instance cannot confirm that its settings are current",
@@ -192,7 +193,7 @@
         return;
     }
     inCaller->replyJson(200, modelListBody(*mCatalog), {{"X-Request-Id", nextRequestId()}});
-    watchWrites(inCaller);
+    trackUnsentAnswer(inCaller);
 }
 
 void front_end_service::refuse(const exchange_pointer &inCaller, const caller_error &inError,
@@ -331,7 +332,7 @@
     case claim_outcome::answered:
         settleTokens(running, 0);
         running.replay(inResult.status, inResult.contentType, inResult.body);
-        watchWrites(running.caller());
+        trackUnsentAnswer(running.caller());
         complete(running, "replayed", {});
         break;
     case claim_outcome::conflict:
@@ -374,7 +375,7 @@
         if (first) {
             mMetrics.observe("first_part_seconds", core::boot_clock::now() - running.startedAt());
             if (running.request().stream)
-                watchWrites(running.caller());
+                trackUnsentAnswer(running.caller());
         }
         // An aborted exchange does not report its end by itself.
         if (running.pendingBytes() > mOptions.maxUnsentBytes) {
@@ -398,7 +399,7 @@
                                : claim_finish{ioRun.claimKey, ioRun.claimId, 0, {}, {}});
         }
         ioRun.finish();
-        watchWrites(ioRun.caller());
+        trackUnsentAnswer(ioRun.caller());
         complete(ioRun, "completed", inEnd.endpoint);
         return;
     }
@@ -429,12 +430,12 @@
         break;
     case caller_run::phase::running:
         // An order that was sent is followed to its end, so that a repeat gets its answer.
-        if (!mayBeCutShort(running))
+        if (!mayBeAbandoned(running))
             break;
         mRegistry.post("dispatch", run_abandon{inRequestId});
         settleTokens(running,
                      running.request().stream ? running.request().promptTokens
-                             + static_cast<double>(running.partCount()) + cCancelOverrun
+                             + static_cast<double>(running.partCount()) + cCancelOverrunTokens
                                               : running.chargedTokens);
         complete(running, "caller_left", {});
         break;
@@ -445,7 +446,7 @@
                                 std::string_view inEndpoint)
 {
     ioRun.fail(inError);
-    watchWrites(ioRun.caller());
+    trackUnsentAnswer(ioRun.caller());
     complete(ioRun, inError.mayHaveRun ? "unknown" : "not_run", inEndpoint);
 }
 
@@ -506,13 +507,13 @@
     mRuns.erase(mRuns.find(request.requestId));
 }
 
-void front_end_service::watchWrites(const exchange_pointer &inCaller)
+void front_end_service::trackUnsentAnswer(const exchange_pointer &inCaller)
 {
     if (inCaller->isClosed() || inCaller->pendingBytes() == 0)
         return;
-    if (std::ranges::find(mWrites, inCaller, &write_watch::caller) != mWrites.end())
+    if (std::ranges::find(mUnsentAnswers, inCaller, &unsent_answer::caller) != mUnsentAnswers.end())
         return;
-    mWrites.push_back({inCaller, inCaller->pendingBytes(), core::boot_clock::now()});
+    mUnsentAnswers.push_back({inCaller, inCaller->pendingBytes(), core::boot_clock::now()});
 }
 
 void front_end_service::applyCatalog(const catalog_changed &inChange)
@@ -526,9 +527,9 @@
             continue;
         const settings::key_view *key = mCatalog->findKey(running->keyDigest);
         // A call to an application service that was sent is answered: its result is an order's.
-        const bool endable = running->currentPhase != caller_run::phase::running
+        const bool mayBeStopped = running->currentPhase != caller_run::phase::running
             || running->request().kind == settings::endpoint_kind::model;
-        if ((key == nullptr || key->withdrawn) && endable)
+        if ((key == nullptr || key->withdrawn) && mayBeStopped)
             withdrawn.push_back(id);
     }
     for (const std::string &id : withdrawn) {
@@ -542,7 +543,7 @@
 {
     const core::time_point now = core::boot_clock::now();
     if (mHoldUntil && now >= *mHoldUntil)
-        resumeHeld();
+        serveHeldRequests();
     std::vector<std::string> overdue;
     for (const auto &[id, running] : mRuns) {
         const bool cancelled = running->disconnectedAt
@@ -563,16 +564,16 @@
 void front_end_service::closeStalledCallers(core::time_point inNow)
 {
     std::vector<exchange_pointer> stalled;
-    std::erase_if(mWrites, [&](write_watch &ioWatch) {
-        const std::size_t pending = ioWatch.caller->pendingBytes();
-        if (pending == 0 && ioWatch.caller->isAnswered())
+    std::erase_if(mUnsentAnswers, [&](unsent_answer &ioAnswer) {
+        const std::size_t pending = ioAnswer.caller->pendingBytes();
+        if (pending == 0 && ioAnswer.caller->isAnswered())
             return true;
-        if (pending == 0 || pending < ioWatch.pending)
-            ioWatch.lastProgress = inNow;
-        ioWatch.pending = pending;
-        if (inNow - ioWatch.lastProgress < cWriteTimeout)
-            return ioWatch.caller->isClosed();
-        stalled.push_back(ioWatch.caller);
+        if (pending == 0 || pending < ioAnswer.pending)
+            ioAnswer.lastProgress = inNow;
+        ioAnswer.pending = pending;
+        if (inNow - ioAnswer.lastProgress < cWriteTimeout)
+            return ioAnswer.caller->isClosed();
+        stalled.push_back(ioAnswer.caller);
         return true;
     });
     for (const exchange_pointer &caller : stalled) {
@@ -585,10 +586,10 @@
     }
 }
 
-void front_end_service::resumeHeld()
+void front_end_service::serveHeldRequests()
 {
     mHoldUntil.reset();
-    const std::vector<exchange_pointer> held = std::exchange(mHeld, {});
+    const std::vector<exchange_pointer> held = std::exchange(mHeldRequests, {});
     for (const exchange_pointer &caller : held)
         serve(caller);
 }
@@ -596,10 +597,11 @@
 void front_end_service::checkDrained()
 {
     const core::time_point now = core::boot_clock::now();
-    if (!mDrainingSince || mDrainReported || now - *mDrainingSince < cDrainLag)
+    if (!mDrainingSince || mDrainReported || now - *mDrainingSince < cDrainNoticeDelay)
         return;
     mServer.stopListening();
-    if (!mRuns.empty() || !mHeld.empty() || !mWrites.empty() || now - mLastRequest < cDrainQuiet)
+    if (!mRuns.empty() || !mHeldRequests.empty() || !mUnsentAnswers.empty()
+        || now - mLastRequest < cDrainQuietPeriod)
         return;
     // From here on, requests on open connections are refused, so that none is cut off by the exit.
     mDrainReported = true;
--- a/corneltally/entry/front_end_service.h
+++ b/corneltally/entry/front_end_service.h
@@ -66,7 +66,7 @@
     using exchange_pointer = std::shared_ptr<http::exchange>;
 
     /// What is watched of an answer that the caller has not fully taken.
-    struct write_watch
+    struct unsent_answer
     {
         exchange_pointer caller;
         std::size_t pending = 0;
@@ -97,12 +97,12 @@
     void settleTokens(caller_run &ioRun, double inUsed);
     /// Logs and counts the request and forgets it.
     void complete(caller_run &ioRun, std::string_view inOutcome, std::string_view inEndpoint);
-    void watchWrites(const exchange_pointer &inCaller);
+    void trackUnsentAnswer(const exchange_pointer &inCaller);
 
     void applyCatalog(const catalog_changed &inChange);
     void sweep();
     void closeStalledCallers(core::time_point inNow);
-    void resumeHeld();
+    void serveHeldRequests();
     void checkDrained();
     std::string nextRequestId();
 
@@ -113,11 +113,11 @@
     kernel::timer mSweep;
     std::shared_ptr<const settings::catalog> mCatalog;
     std::unordered_map<std::string, std::unique_ptr<caller_run>> mRuns;
-    std::vector<write_watch> mWrites;
+    std::vector<unsent_answer> mUnsentAnswers;
     /// Requests that arrived after a pause, until the tree is known to be current.
-    std::vector<exchange_pointer> mHeld;
+    std::vector<exchange_pointer> mHeldRequests;
     std::optional<core::time_point> mHoldUntil;
-    std::optional<core::time_point> mConfirmedAt;
+    std::optional<core::time_point> mSettingsConfirmedAt;
     std::optional<core::time_point> mDrainingSince;
     core::time_point mLastRequest;
     bool mDrainReported = false;
