--- a/corneltally/entry/dispatch_messages.h
+++ b/corneltally/entry/dispatch_messages.h
@@ -9,13 +9,14 @@
 
 namespace corneltally::entry {
 
-/// Front end to dispatch: start a run. Its run_event messages go back to the front end.
+/// From the front end to dispatch: starts a run. Its run_event messages are sent back to the front
+/// end.
 struct run_start
 {
     run request;
 };
 
-/// Front end to dispatch: the caller left; the run is cancelled where it is.
+/// From the front end to dispatch: cancels a run, for example because its caller disconnected.
 struct run_abandon
 {
     std::string requestId;
@@ -30,7 +31,7 @@
     friend auto operator<=>(const resident_adapter &, const resident_adapter &) = default;
 };
 
-/// What an owner publishes about an endpoint, to the local dispatch service and to peers.
+/// Status of an endpoint, published by its owner to the local dispatch service and to peers.
 struct endpoint_status
 {
     std::string endpoint;
@@ -43,7 +44,7 @@
     int running = 0;
     int queued = 0;
     double queuedTokens = 0;
-    /// Estimated wait of a new prompt request for a resident adapter.
+    /// Estimated wait of a new request of traffic class prompt for a resident adapter.
     core::duration estimatedWait{};
 
     friend auto operator<=>(const endpoint_status &, const endpoint_status &) = default;
--- a/corneltally/entry/dispatch_rules.cpp
+++ b/corneltally/entry/dispatch_rules.cpp
@@ -25,7 +25,7 @@
 
 core::duration retryDelay(int inAttempts, std::uint64_t inRandom)
 {
-    // The 53 bits that a double holds give a number in [0, 1).
+    // The upper 53 bits, the precision of a double, give a number in [0, 1).
     const double uniform = static_cast<double>(inRandom >> 11U) * 0x1p-53;
     return limits::retryDelay(inAttempts - 1, cInitialDelayBound, cMaxDelayBound, uniform);
 }
@@ -39,7 +39,7 @@
         const service_option &option = inOptions[index];
         if (!option.mayStart || option.healthWeight <= 0)
             continue;
-        // The last element breaks ties differently for each request.
+        // The last element breaks ties at random.
         const std::tuple<bool, bool, double, std::size_t> rank{
             option.excluded, !option.sameDomain, (option.outstanding + 1) / option.healthWeight,
             (index + inRandom) % inOptions.size()};
--- a/corneltally/entry/dispatch_rules.h
+++ b/corneltally/entry/dispatch_rules.h
@@ -10,27 +10,27 @@
 
 namespace corneltally::entry {
 
-/// What decides whether an attempt that failed may be followed by another one.
+/// Properties of a failed attempt that decide whether the run may be attempted again.
 struct failed_attempt
 {
     run_outcome outcome = run_outcome::unknown;
     bool repeatable = false;
-    /// A part of the answer reached the caller.
+    /// A part of the answer was passed on to the caller.
     bool partDelivered = false;
     /// Attempts made so far.
     int attempts = 1;
     core::duration remaining{};
 };
 
-/// Attempts for one request.
+/// Maximum number of attempts for one request.
 inline constexpr int cMaxAttempts = 4;
 
-/// Whether another attempt cannot break a promise: nothing ran, or the route is repeatable, and no
-/// part of the answer reached the caller.
+/// Whether another attempt is safe: nothing ran or the route is repeatable, no part of the answer
+/// was passed on to the caller, and attempts and time remain.
 bool mayRepeat(const failed_attempt &inAttempt);
 
-/// Delay before an attempt with full jitter: uniform between 0 and a bound that doubles with each
-/// attempt.
+/// Delay before the next attempt, with full jitter: uniform between 0 and a bound that doubles with
+/// each attempt up to a maximum.
 core::duration retryDelay(int inAttempts, std::uint64_t inRandom);
 
 /// An application endpoint that could serve a request.
@@ -42,17 +42,19 @@
     /// An earlier attempt of the request failed there.
     bool excluded = false;
     int outstanding = 0;
-    /// From 0 (none) to 1 (healthy).
+    /// Share of the load that the endpoint's health permits, from 0 (none) to 1 (healthy).
     double healthWeight = 1;
 };
 
-/// Index of the endpoint for a request: one that did not fail it, of the own failure domain, with
-/// the least outstanding requests for its health. Nothing if none may be used.
+/// Index of the best endpoint for a request, or nothing if none may be used. Prefers endpoints
+/// where no attempt of the request failed, then the own failure domain, then the fewest outstanding
+/// requests relative to health.
 std::optional<std::size_t> chooseService(std::span<const service_option> inOptions,
                                          std::uint64_t inRandom);
 
-/// Whether a report about an endpoint replaces the known one. The greater fencing number wins, so
-/// that the reports of an owner that was replaced do not come back while it is still heard.
+/// Whether a new status of an endpoint replaces the known one. The greater fencing number wins, so
+/// that a replaced owner that is still connected does not overwrite the status from its successor.
+/// Any status replaces that of an owner that is no longer live.
 bool replacesStatus(std::uint64_t inKnownFence, bool inKnownOwnerLive, std::uint64_t inNewFence);
 
 } // namespace corneltally::entry
--- a/corneltally/entry/dispatch_service.cpp
+++ b/corneltally/entry/dispatch_service.cpp
@@ -17,17 +17,17 @@
 using namespace std::chrono_literals;
 
 constexpr core::duration cSweepPeriod = 20ms;
-/// Longest wait for an endpoint that takes the run: peers detect a dead owner in 2 s and take its
-/// endpoints over within 3 s.
+/// Longest wait for an endpoint that accepts the run. Peers detect a dead owner in 2 s and take
+/// over its endpoints within 3 s.
 constexpr core::duration cMaxEndpointWait = 5s;
 constexpr core::duration cEndpointPollPeriod = 50ms;
-/// Refusals to continue a stream before it is given up. With their delays they span the time in
-/// which a draining owner, which continues no streams, hands its endpoint over.
+/// Attempts to resume a stream before it fails. With their delays they cover the time in which a
+/// draining owner, which resumes no streams, hands over its endpoint.
 constexpr int cMaxResumptions = 20;
 constexpr core::duration cMaxResumeDelay = 1s;
 constexpr core::duration cPrunePeriod = 5s;
-/// A call to a service that may be repeated gets this part of the remaining time, so that a
-/// connection that went silent leaves time for another attempt.
+/// A repeatable call to a service gets the remaining time divided by this number, so that a silent
+/// connection leaves time for another attempt.
 constexpr int cServiceTimeoutDivisor = 2;
 
 run_end unknownEnd(core::error_kind inKind, std::string_view inReason)
@@ -82,7 +82,8 @@
     mRegistry.handle<peer_connected>(name(), [this](const peer_connected &inConnected) {
         mDirectory.setConnected(inConnected.instance, true);
     });
-    mRegistry.handle<peer_lost>(name(), [this](const peer_lost &inLost) { handlePeerLost(inLost); });
+    mRegistry.handle<peer_lost>(name(),
+                                [this](const peer_lost &inLost) { handlePeerLost(inLost); });
 }
 
 dispatch_service::~dispatch_service() = default;
@@ -137,7 +138,7 @@
         = mDirectory.chooseModel(ioRun.request, ioRun.failedEndpoints, inNow, mRandom());
     const std::optional<std::string> owner = chosen ? mDirectory.ownerOf(*chosen) : std::nullopt;
     if (!owner) {
-        // All that refused it once may take it later.
+        // Endpoints where earlier attempts failed may accept the run later.
         ioRun.failedEndpoints.clear();
         waitForEndpoint(ioRun, inNow);
         return;
@@ -148,7 +149,7 @@
     submit(ioRun, *owner, inNow);
 }
 
-/// Continues a stream at the endpoint that runs it, through whichever instance owns it now.
+/// Resumes a stream at its endpoint, through the instance that owns the endpoint now.
 void dispatch_service::resume(dispatched_run &ioRun, core::time_point inNow)
 {
     const std::optional<std::string> owner = mDirectory.ownerOf(ioRun.endpoint);
@@ -179,7 +180,8 @@
 
 void dispatch_service::waitForEndpoint(dispatched_run &ioRun, core::time_point inNow)
 {
-    if (inNow - ioRun.startedAt < cMaxEndpointWait && inNow + cEndpointPollPeriod < ioRun.request.deadline) {
+    if (inNow - ioRun.startedAt < cMaxEndpointWait
+        && inNow + cEndpointPollPeriod < ioRun.request.deadline) {
         ioRun.nextAttempt = inNow + cEndpointPollPeriod;
         return;
     }
@@ -205,23 +207,23 @@
     core::duration timeout = request.deadline - inNow;
     if (request.repeatable && ioRun.attempts < cMaxAttempts)
         timeout /= cServiceTimeoutDivisor;
-    ioRun.call
-        = mServiceClient.call({.target = http::parseAddress(mDirectory.find(ioRun.endpoint)->address),
-                          .method = request.method,
-                          .path = request.path,
-                          .contentType = request.contentType,
-                          .body = request.body,
-                          .requestId = request.requestId,
-                          .orderId = request.orderId,
-                          .timeout = timeout,
-                          .freshConnection = !request.repeatable},
-                         [this, id = request.requestId](const endpoint::service_answer &inAnswer) {
-                             handleServiceAnswer(id, inAnswer);
-                         });
+    ioRun.call = mServiceClient.call(
+        {.target = http::parseAddress(mDirectory.find(ioRun.endpoint)->address),
+         .method = request.method,
+         .path = request.path,
+         .contentType = request.contentType,
+         .body = request.body,
+         .requestId = request.requestId,
+         .orderId = request.orderId,
+         .timeout = timeout,
+         .freshConnection = !request.repeatable},
+        [this, id = request.requestId](const endpoint::service_answer &inAnswer) {
+            handleServiceAnswer(id, inAnswer);
+        });
 }
 
 void dispatch_service::handleServiceAnswer(const std::string &inRequestId,
-                                         const endpoint::service_answer &inAnswer)
+                                           const endpoint::service_answer &inAnswer)
 {
     const auto found = mRuns.find(inRequestId);
     if (found == mRuns.end())
@@ -236,8 +238,8 @@
         break;
     case endpoint::service_outcome::not_run:
         handleEnd(running,
-                notRunEnd(core::error_kind::unavailable, inAnswer.reason,
-                          std::max(1, inAnswer.retryAfterSeconds)));
+                  notRunEnd(core::error_kind::unavailable, inAnswer.reason,
+                            std::max(1, inAnswer.retryAfterSeconds)));
         break;
     case endpoint::service_outcome::unknown:
         handleEnd(running, unknownEnd(core::error_kind::outcome_unknown, inAnswer.reason));
@@ -248,7 +250,7 @@
 void dispatch_service::handleEvent(const run_event &inEvent, const std::string &inFrom)
 {
     const auto found = mRuns.find(inEvent.requestId);
-    // Late events of an owner that was given up belong to an earlier attempt.
+    // Late events of a previous owner belong to an earlier attempt.
     if (found == mRuns.end() || found->second->owner != inFrom || found->second->nextAttempt)
         return;
     dispatched_run &running = *found->second;
@@ -265,7 +267,7 @@
 
 void dispatch_service::handleChunk(dispatched_run &ioRun, const run_chunk &inChunk)
 {
-    // A part that was received before the stream was resumed.
+    // The part was already received before the stream was resumed.
     if (inChunk.index < ioRun.nextPart)
         return;
     if (inChunk.index > ioRun.nextPart) {
@@ -288,24 +290,26 @@
     handleFailedAttempt(ioRun, std::move(inEnd));
 }
 
-/// Decides between another attempt, the continuation of a stream and the end of the run.
+/// Retries the run, resumes its stream or ends the run.
 void dispatch_service::handleFailedAttempt(dispatched_run &ioRun, run_end inEnd)
 {
     const core::time_point now = core::boot_clock::now();
     const bool partDelivered = ioRun.nextPart > 0;
     if (partDelivered && inEnd.outcome == run_outcome::not_run
         && ioRun.resumptions < cMaxResumptions) {
-        // The instance does not own the endpoint (any more); the stream itself still exists.
+        // The instance does not or no longer own the endpoint; the stream itself still exists.
         ++ioRun.resumptions;
         ioRun.owner.clear();
-        ioRun.nextAttempt = now + std::min(cEndpointPollPeriod * ioRun.resumptions, cMaxResumeDelay);
+        ioRun.nextAttempt
+            = now + std::min(cEndpointPollPeriod * ioRun.resumptions, cMaxResumeDelay);
         return;
     }
     if (partDelivered && inEnd.outcome == run_outcome::not_run)
         inEnd = unknownEnd(core::error_kind::outcome_unknown, "the stream could not be continued");
     ioRun.failedEndpoints.insert(ioRun.endpoint);
     releaseEndpoint(ioRun, inEnd);
-    // A change of owner returns all waiting runs at once, and each was only to be sent elsewhere.
+    // A change of owner returns all waiting runs at once. They did not fail but need another owner,
+    // so that their retries are not charged to the retry budget.
     const bool redirected
         = inEnd.outcome == run_outcome::not_run && inEnd.error.kind == core::error_kind::conflict;
     repeatOrFinish(ioRun, std::move(inEnd), !redirected);
@@ -329,7 +333,8 @@
     ioRun.lastFailure = std::move(inEnd);
 }
 
-/// The instance that the run was sent to is gone, or messages between it and this one were lost.
+/// Retries or resumes a run after the instance that it was sent to stopped, or after messages
+/// between it and this instance were lost.
 void dispatch_service::handleOwnerLost(dispatched_run &ioRun, std::string_view inReason)
 {
     const core::time_point now = core::boot_clock::now();
@@ -338,8 +343,8 @@
         ioRun.nextAttempt = now + cEndpointPollPeriod;
         return;
     }
-    // The endpoint is not to blame. The loss of an instance concerns only the runs that it has, so
-    // that repeating them cannot build up load.
+    // The loss does not count against the endpoint's health. A lost instance affects only the runs
+    // that it has, so that retries outside the retry budget cannot amplify load.
     mDirectory.abandoned(ioRun.request, ioRun.endpoint, now);
     run_end end = unknownEnd(core::error_kind::outcome_unknown, inReason);
     end.endpoint = std::exchange(ioRun.endpoint, {});
@@ -347,7 +352,7 @@
     repeatOrFinish(ioRun, std::move(end), false);
 }
 
-/// The stream went silent or has a gap although its owner is reachable: it is asked for again.
+/// Resumes a stream that is silent or has a gap although its owner is reachable.
 void dispatch_service::handleStreamLost(dispatched_run &ioRun, std::string_view inReason)
 {
     if (++ioRun.resumptions > cMaxResumptions) {
@@ -419,14 +424,15 @@
     mDirectory.setConnected(inLost.instance, false);
     std::vector<std::string> affected;
     for (const auto &[id, running] : mRuns) {
-        // Whether the owner got a run that must not be repeated is not known; its events may
-        // still arrive on the next connection.
+        // A run without parts that must not be repeated keeps waiting: the owner may have received
+        // it, and its events may still arrive on the next connection.
         if (running->owner == inLost.instance
             && (running->nextPart > 0 || running->request.repeatable))
             affected.push_back(id);
     }
     for (const std::string &id : affected)
-        handleOwnerLost(*mRuns.at(id), "the connection to the instance that ran the request was lost");
+        handleOwnerLost(*mRuns.at(id),
+                        "the connection to the instance that ran the request was lost");
 }
 
 void dispatch_service::sweep()
--- a/corneltally/entry/dispatch_service.h
+++ b/corneltally/entry/dispatch_service.h
@@ -26,7 +26,7 @@
 namespace corneltally::entry {
 
 /// Runs the requests of this instance's callers: chooses an endpoint, sends the run to its owner or
-/// to the application service, passes the answer on, and decides what follows a failure.
+/// to the application service, forwards the answer, and retries or resumes after failures.
 class dispatch_service : public kernel::service
 {
 public:
@@ -54,7 +54,7 @@
     void handleEvent(const run_event &inEvent, const std::string &inFrom);
     void handleChunk(dispatched_run &ioRun, const run_chunk &inChunk);
     void handleServiceAnswer(const std::string &inRequestId,
-                           const endpoint::service_answer &inAnswer);
+                             const endpoint::service_answer &inAnswer);
     void handleEnd(dispatched_run &ioRun, run_end inEnd);
     void handleFailedAttempt(dispatched_run &ioRun, run_end inEnd);
     void repeatOrFinish(dispatched_run &ioRun, run_end inEnd, bool inUseRetryBudget);
--- a/corneltally/entry/dispatched_run.h
+++ b/corneltally/entry/dispatched_run.h
@@ -13,30 +13,30 @@
 
 namespace corneltally::entry {
 
-/// A run on its way through one or more attempts.
+/// A run in progress, with the state of its attempts.
 struct dispatched_run
 {
     run request;
     core::time_point startedAt;
-    /// Last sign of the run from the current owner.
+    /// When the run was sent to the current owner or last received an event from it.
     core::time_point lastEventAt;
-    /// Where the current attempt runs; empty between attempts.
+    /// Endpoint of the current attempt; empty between attempts.
     std::string endpoint;
     /// Instance that the current attempt was sent to; empty for application services.
     std::string owner;
     int attempts = 0;
-    /// Attempts that another owner has to continue after parts were received.
+    /// How often the stream was silent or had a gap, or an owner refused to resume it.
     int resumptions = 0;
     bool headSent = false;
-    /// The outcome of an earlier attempt is unknown, so that "not run" would be a false answer.
+    /// An earlier attempt has an unknown outcome, so that the run must not be reported as not run.
     bool mayHaveRun = false;
-    /// Parts that were passed to the front end.
+    /// Number of parts passed to the front end, which is the index of the next one.
     std::uint64_t nextPart = 0;
     std::set<std::string, std::less<>> failedEndpoints;
-    /// When the next attempt is made; set between attempts.
+    /// Time of the next attempt or continuation; set while none is under way.
     std::optional<core::time_point> nextAttempt;
     std::optional<endpoint::service_client::call_id> call;
-    /// Why the last attempt failed.
+    /// End of the last failed attempt.
     std::optional<run_end> lastFailure;
 };
 
--- a/corneltally/entry/run.h
+++ b/corneltally/entry/run.h
@@ -9,7 +9,7 @@
 
 namespace corneltally::entry {
 
-/// A caller's request after authentication, as it travels to the endpoint. It holds no credentials.
+/// A caller's request after authentication, as it is sent to the endpoint. Holds no credentials.
 struct run
 {
     /// Unique over all instances and restarts.
@@ -17,7 +17,7 @@
     std::string account;
     std::string route;
     settings::endpoint_kind kind = settings::endpoint_kind::model;
-    /// Fixed at admission; later changes of the tree do not affect the run.
+    /// Resolved when the request arrives; later changes of the settings do not affect the run.
     std::string adapter;
     std::string version;
     std::string baseModel;
@@ -25,14 +25,14 @@
     std::string path;
     std::string contentType;
     std::string body;
-    /// Digest that names the order at application services; empty without an idempotency key.
+    /// Digest that identifies the order to application services; empty without an idempotency key.
     std::string orderId;
     double promptTokens = 0;
     double maxTokens = 0;
     bool stream = false;
     bool repeatable = false;
     settings::traffic_class trafficClass = settings::traffic_class::prompt;
-    /// On this instance's clock; sent between instances as the remaining time.
+    /// On this instance's clock; sent to other instances as the remaining time.
     core::time_point deadline;
     core::duration streamIdle{};
 
--- a/corneltally/entry/run_event.h
+++ b/corneltally/entry/run_event.h
@@ -10,7 +10,7 @@
 
 namespace corneltally::entry {
 
-/// The answer began.
+/// Start of the answer.
 struct run_head
 {
     int status = 200;
@@ -32,9 +32,9 @@
 /// How a run ended.
 enum class run_outcome : std::uint8_t {
     completed,
-    /// Certain: the endpoint did not run the request.
+    /// The endpoint certainly did not run the request.
     not_run,
-    /// The request may have run, fully or partly.
+    /// The request may have run completely or in part.
     unknown,
 };
 
@@ -45,14 +45,14 @@
     /// Set unless the run completed.
     core::error error;
     double outputTokens = 0;
-    /// How long a caller should wait before it tries again; 0 if there is no advice.
+    /// Delay after which the caller should retry; 0 if none is suggested.
     int retryAfterSeconds = 0;
     std::string endpoint;
 
     friend auto operator<=>(const run_end &, const run_end &) = default;
 };
 
-/// An event of a run, from the endpoint towards the caller.
+/// An event of a run, sent from the endpoint's side to the caller's side.
 struct run_event
 {
     std::string requestId;
