--- a/corneltally/entry/dispatch_service.cpp
+++ b/corneltally/entry/dispatch_service.cpp
@@ -187,7 +187,7 @@
     }
     finish(ioRun,
            ioRun.lastFailure.value_or(
-               notRunEnd(core::error_kind::unavailable, "no endpoint takes the request")));
+               notRunEnd(core::error_kind::unavailable, "no endpoint accepts the request")));
 }
 
 void dispatch_service::attemptService(dispatched_run &ioRun, core::time_point inNow)
@@ -305,7 +305,7 @@
         return;
     }
     if (partDelivered && inEnd.outcome == run_outcome::not_run)
-        inEnd = unknownEnd(core::error_kind::outcome_unknown, "the stream could not be continued");
+        inEnd = unknownEnd(core::error_kind::outcome_unknown, "the stream could not be resumed");
     ioRun.failedEndpoints.insert(ioRun.endpoint);
     releaseEndpoint(ioRun, inEnd);
     // A change of owner returns all waiting runs at once. They did not fail but need another owner,
@@ -464,14 +464,14 @@
             mServiceClient.cancel(*ioRun.call);
         run_end end = sent
             ? unknownEnd(core::error_kind::timeout, "the request was not answered in time")
-            : notRunEnd(core::error_kind::timeout, "no endpoint took the request in time");
+            : notRunEnd(core::error_kind::timeout, "no endpoint accepted the request in time");
         end.endpoint = ioRun.endpoint;
         releaseEndpoint(ioRun, end);
         finish(ioRun, std::move(end));
     } else if (ioRun.nextAttempt) {
         attempt(ioRun);
     } else {
-        handleStreamLost(ioRun, "the stream went silent");
+        handleStreamLost(ioRun, "the stream was silent for too long");
     }
 }
 
