--- a/corneltally/entry/admission_messages.h
+++ b/corneltally/entry/admission_messages.h
@@ -9,7 +9,7 @@
 
 namespace corneltally::entry {
 
-/// Asks the admission service for tokens; answered to the front end by admission_result.
+/// Asks the admission service to charge tokens to an account; answered with admission_result.
 struct admit
 {
     std::string requestId;
@@ -18,13 +18,13 @@
     core::time_point deadline;
 };
 
-/// The caller left or the request failed before admission was answered.
+/// Cancels an admit whose caller disconnected or whose request failed before the answer.
 struct admit_cancel
 {
     std::string requestId;
 };
 
-/// Answer to admit: no error means that the tokens were charged.
+/// Answer to admit, sent to the front end. Without an error the tokens were charged.
 struct admission_result
 {
     std::string requestId;
@@ -32,8 +32,8 @@
     int retryAfterSeconds = 0;
 };
 
-/// Gives back what was charged at admission and not used. Without the request's id nothing is given
-/// back, since the refund is limited by what happened to the bucket since that charge.
+/// Refunds the tokens that were charged at admission and not used. Without the request id nothing
+/// is refunded, since the refund is limited by the changes of the bucket since that charge.
 struct settle
 {
     std::string account;
@@ -42,7 +42,7 @@
     std::string requestId;
 };
 
-/// A peer asks for part of this instance's share of an account (fleet-wide limit).
+/// A peer asks to borrow part of this instance's share of an account's fleet-wide limit.
 struct loan_requested
 {
     std::string instance;
@@ -52,7 +52,8 @@
     double tokens = 0;
 };
 
-/// A peer lent part of its share. Usable for the given duration from when the request was sent.
+/// A peer lent part of its share. The loan is valid for the given duration from when the request
+/// was sent.
 struct loan_granted
 {
     std::string instance;
@@ -64,7 +65,7 @@
     core::duration validFor{};
 };
 
-/// Lets the owner service ask for one unit of the fleet-wide weight store limit.
+/// From the owner service: asks for one load within the fleet-wide limit of the weight store.
 struct weight_load_admit
 {
     std::string endpoint;
@@ -82,7 +83,7 @@
     core::duration retryAfter{};
 };
 
-/// A granted load ended, so that its place among the loads in flight is free.
+/// From the owner service: a granted load ended and no longer counts as in flight.
 struct weight_load_done
 {
     std::string endpoint;
--- a/corneltally/entry/admission_service.cpp
+++ b/corneltally/entry/admission_service.cpp
@@ -14,9 +14,11 @@
 
 /// Name of the weight store's limit in loan messages; no account name starts with a slash.
 constexpr std::string_view cWeightStoreLimit = "/weight_store";
-/// A load whose end was not reported counts as ended after this time; a slow load takes seconds.
+/// Time after which a load without a reported end is assumed to have ended; a slow load takes
+/// seconds.
 constexpr core::duration cMaxLoadTime = 60s;
-/// A load takes about 250 ms, so that a place among the loads in flight is free after this time.
+/// Delay before a load is retried that would exceed the loads in flight. A load takes about 250 ms,
+/// so that one of those in flight has ended by then.
 constexpr core::duration cLoadRetryDelay = 100ms;
 
 int wholeSeconds(core::duration inDelay)
@@ -84,7 +86,8 @@
     const core::time_point now = core::boot_clock::now();
     const auto waiting = mWaitingAccounts.find(inCancel.requestId);
     if (waiting == mWaitingAccounts.end()) {
-        // It was decided already; an admitted request is not started after its cancellation.
+        // The request was decided already. If it was admitted its whole charge is refunded, since
+        // it is not started after its cancellation.
         for (auto item = mLimits.begin(); item != mLimits.end(); ++item)
             item->second.limiter->cancel(inCancel.requestId, now);
         return;
@@ -122,7 +125,7 @@
         names.insert(account);
         setLimit(account, view.rateTokensPerSecond, view.burstTokens, fraction, now);
     }
-    // A burst of one load per instance: a share below one load could never be spent.
+    // The burst is one load per instance, since a share below one load could never be used.
     setLimit(std::string(cWeightStoreLimit), catalog.weightLoadsPerSecond(), instances, fraction,
              now);
     mMaxLoadsInFlight = std::max<std::size_t>(
@@ -142,8 +145,8 @@
         found->second.limiter->setFraction(inFraction, inNow);
         return;
     }
-    // Limits of the first catalog count from the start of the process: an earlier process may have
-    // lent before then, but not after.
+    // Limits of the first catalog count from the start of the process: an earlier process of this
+    // instance may have lent tokens before then, but not after.
     limit added;
     added.limiter = std::make_unique<limits::shared_limiter>(
         inRate, inBurst, inFraction, mHasCatalog ? inNow : mStartedAt, mIncarnation);
@@ -179,7 +182,7 @@
 void admission_service::applyPeers(const peers_changed &inChange)
 {
     mPeers.clear();
-    // A draining instance takes no new requests, so that it has most to lend.
+    // Draining instances come first: they accept no new requests, so that they have most to lend.
     for (const auto *names : {&inChange.draining, &inChange.live}) {
         for (const std::string &peer : *names) {
             if (peer != mInstance)
@@ -207,7 +210,7 @@
         return;
     const limits::fleet_share::loan loan = found->second.limiter->lend(
         inRequest.instance, request.loanId, request.rate, request.tokens, core::boot_clock::now());
-    // An empty answer lets the borrower ask the next peer at once.
+    // An empty grant is sent too, so that the borrower asks the next peer at once.
     mRegistry.post("peers",
                    peer_send{inRequest.instance,
                              loan_grant{.account = request.account,
@@ -304,7 +307,7 @@
     entry.wakeAt = inWakeAt;
     if (!inWakeAt)
         return;
-    // The timer counts whole milliseconds at best; an early wake would only poll once more.
+    // Timers have a resolution of 1 ms at best; an earlier wake would only cause an extra poll.
     entry.wakeAt = std::max(*inWakeAt, core::boot_clock::now() + 1ms);
     mWakes.emplace(*entry.wakeAt, inLimit->first);
     mWakeTimer.startOnce(mWakes.begin()->first - core::boot_clock::now());
@@ -350,7 +353,7 @@
     if (isGranted) {
         const core::time_point now = core::boot_clock::now();
         mLoadsInFlight.insert_or_assign(found->first, now + cMaxLoadTime);
-        // A load uses its whole token; nothing is given back later.
+        // A load uses its whole token; nothing is refunded later.
         mLimits.find(cWeightStoreLimit)->second.limiter->settle(found->first, 1, now);
     }
     mWaitingLoads.erase(found);
--- a/corneltally/entry/admission_service.h
+++ b/corneltally/entry/admission_service.h
@@ -20,13 +20,13 @@
 
 namespace corneltally::entry {
 
-/// Enforces the fleet-wide limits of client accounts and of the weight store with the shares of
-/// this instance, and exchanges loans with peers.
+/// Enforces this instance's shares of the fleet-wide limits of client accounts and of the weight
+/// store, and exchanges loans with peers.
 class admission_service : public kernel::service
 {
 public:
-    /// The incarnation starts the numbering of loans. Without shares each instance enforces the
-    /// whole limits alone; only for tests.
+    /// Loan ids are numbered from the incarnation. With inIgnoreShares each instance enforces the
+    /// whole limits on its own; only for tests.
     admission_service(kernel::service_registry &inRegistry, std::string inInstance,
                       std::uint64_t inIncarnation, bool inIgnoreShares = false);
 
@@ -35,7 +35,7 @@
     std::string dump() const override;
 
 private:
-    /// A limit by name: a client account, or the weight store.
+    /// The limit of a client account or of the weight store.
     struct limit
     {
         std::unique_ptr<limits::shared_limiter> limiter;
@@ -74,15 +74,15 @@
     core::time_point mStartedAt;
     bool mHasCatalog = false;
     limit_map mLimits;
-    /// Account of each request that waits.
+    /// Accounts of the waiting requests, by request id.
     std::map<std::string, std::string, std::less<>> mWaitingAccounts;
     std::vector<std::string> mPeers;
-    /// Limits by the time at which they are polled next.
+    /// Time of the next poll and name of each limit that waits for one.
     std::set<std::pair<core::time_point, std::string>> mWakes;
     kernel::timer mWakeTimer;
 
     /// Loads that wait for the weight store's rate, and loads in flight with the time after which
-    /// they count as ended.
+    /// they are assumed to have ended.
     std::map<std::string, weight_load_admit, std::less<>> mWaitingLoads;
     std::map<std::string, core::time_point, std::less<>> mLoadsInFlight;
     std::size_t mMaxLoadsInFlight = 1;
