--- a/corneltally/entry/admission_service.cpp
+++ b/corneltally/entry/admission_service.cpp
@@ -94,7 +94,7 @@
     }
     const auto found = mLimits.find(waiting->second);
     mWaitingAccounts.erase(waiting);
-    refuse(inCancel.requestId, {core::error_kind::timeout, "the request was given up", ""}, 0);
+    refuse(inCancel.requestId, {core::error_kind::timeout, "the request was cancelled", ""}, 0);
     if (found == mLimits.end())
         return;
     found->second.limiter->cancel(inCancel.requestId, now);
