--- a/corneltally/entry/claims_messages.h
+++ b/corneltally/entry/claims_messages.h
@@ -8,7 +8,7 @@
 
 namespace corneltally::entry {
 
-/// Claims an idempotency key for a request; answered to the front end by claim_result.
+/// Claims an idempotency key for a request; answered with claim_result.
 struct claim_begin
 {
     std::string requestId;
@@ -18,7 +18,7 @@
     core::time_point deadline;
 };
 
-/// The request of a pending claim was given up; nothing was or will be dispatched.
+/// Cancels a pending claim; its request was not and will not be dispatched.
 struct claim_cancel
 {
     std::string requestId;
@@ -27,17 +27,17 @@
 enum class claim_outcome : std::uint8_t {
     /// This request holds the key and may be dispatched.
     granted,
-    /// Another request ran; its answer is attached.
+    /// Another request with the key completed; its answer is attached.
     answered,
     /// The key was used for a different request.
     conflict,
     /// Another request holds the key and its result is not known.
     unknown,
-    /// The claim could not be ordered; the request was not and will not be run.
+    /// The claim could not be ordered through the log; the request was not and will not be run.
     refused,
 };
 
-/// Answer to claim_begin.
+/// Answer to claim_begin, sent to the front end.
 struct claim_result
 {
     std::string requestId;
--- a/corneltally/entry/claims_service.h
+++ b/corneltally/entry/claims_service.h
@@ -25,8 +25,8 @@
 
 namespace corneltally::entry {
 
-/// Orders idempotency keys through the platform's log: connects the claim coordinator with the log
-/// and the front end.
+/// Orders claims of idempotency keys through the platform's log: connects the claim coordinator to
+/// the log and to the front end.
 template <platform::log_service Log>
 class claims_service : public kernel::service
 {
@@ -74,10 +74,10 @@
 namespace claims_detail {
 
 constexpr std::string_view cStream = "claims";
-/// Bounds the time in which an outage of the log is noticed: a read without an answer is given up
-/// 2 s after it.
+/// Longest wait of a read for new records. Bounds how late an outage of the log is noticed: a read
+/// without an answer fails 2 s after this time.
 constexpr std::chrono::milliseconds cLogReadWait{1'000};
-/// A record holds up to 256 KiB.
+/// Bounds the size of a page: a record holds up to 256 KiB.
 constexpr int cPageRecords = 64;
 constexpr core::duration cMinRetryDelay = std::chrono::milliseconds(100);
 constexpr core::duration cMaxRetryDelay = std::chrono::seconds(2);
@@ -145,7 +145,7 @@
 void claims_service<Log>::readStream()
 {
     mRetryTimer.cancel();
-    // There is nothing to wait for before the end of the stream was seen.
+    // Reads wait for new records only after the end of the stream was reached.
     const bool mayWait = mCoordinator.isCaughtUp() && mCoordinator.isLogReachable();
     const std::uint64_t from = mCoordinator.position();
     mLog->read({.stream = std::string(claims_detail::cStream),
@@ -163,7 +163,8 @@
                });
 }
 
-/// A log that ends before what was read from it, or has less than it says, is another log.
+/// Rejects pages that contradict what was read before: a log that ends before the read position, or
+/// that calls the position expired without starting after it, is not the same log.
 template <platform::log_service Log>
 bool claims_service<Log>::isUsable(const page &inPage, std::uint64_t inFrom)
 {
@@ -178,8 +179,8 @@
     return false;
 }
 
-/// Reads without waiting, beside the read that waits for new records, to find out whether an append
-/// with a lost answer took effect.
+/// Reads without waiting, in parallel with the read that waits for new records, to find out whether
+/// an append with a lost answer took effect.
 template <platform::log_service Log>
 void claims_service<Log>::probeStream()
 {
@@ -189,7 +190,7 @@
                 .limit = claims_detail::cPageRecords},
                [this](const page &inPage) {
                    mIsProbing = false;
-                   // Failures are left to the other read, which also sets the pace of retries.
+                   // Failures are handled by the waiting read, which also schedules the retries.
                    if (inPage.outcome == platform::read_outcome::records)
                        applyPage(inPage);
                    if (inPage.outcome != platform::read_outcome::failed)
@@ -206,7 +207,7 @@
                        {{"from", mCoordinator.position()}});
     mIsUnreachableLogged = false;
     if (inPage.outcome == platform::read_outcome::expired) {
-        // At the start, position 0 only asks where the stream begins.
+        // A new process reads from position 0 only to learn where the stream begins.
         if (mCoordinator.position() > 0)
             core::logEvent(core::log_level::warning, "claims_stream_restarted",
                            {{"position", mCoordinator.position()}, {"first", inPage.first}});
@@ -228,7 +229,7 @@
         core::logEvent(core::log_level::warning, "claims_log_unreachable",
                        {{"reason", inReason.message}, {"remedy", inReason.remedy}});
     mIsUnreachableLogged = true;
-    // Jitter, so that instances do not return all at once after an outage.
+    // The jitter keeps instances from all returning at once after an outage.
     std::uniform_int_distribution<core::duration::rep> delay(
         claims_detail::cMinRetryDelay.count() / 2, mRetryDelay.count());
     mRetryTimer.startOnce(core::duration(delay(mRandom)));
@@ -268,7 +269,8 @@
 template <platform::log_service Log>
 void claims_service<Log>::applyPause()
 {
-    // Calls from before the pause may never be answered. An append may have taken effect.
+    // Calls from before the pause may never be answered; an append among them may have taken
+    // effect.
     mLog->cancelAll();
     mIsProbing = false;
     mCoordinator.batcher().unknown(mAppendingBatchId, core::boot_clock::now());
@@ -287,7 +289,7 @@
         append(*actions.append);
     if (actions.readNow && !mIsProbing && mCoordinator.isLogReachable())
         probeStream();
-    // Timers count milliseconds; the extra one keeps a wake from coming just before its time.
+    // Timers count milliseconds; the extra one keeps the timer from firing just before wakeAt.
     if (actions.wakeAt)
         mWakeTimer.startOnce(std::max<core::duration>(*actions.wakeAt - now, {})
                              + std::chrono::milliseconds(1));
--- a/corneltally/entry/drain_messages.h
+++ b/corneltally/entry/drain_messages.h
@@ -4,15 +4,15 @@
 
 namespace corneltally::entry {
 
-/// From the front end to the drain service: no caller's request runs any more.
+/// From the front end to the drain service: all requests of callers have finished.
 struct callers_drained
 {
     /// Requests that finished after the drain began.
     std::uint64_t finished = 0;
 };
 
-/// From the owner service to the drain service: nothing runs on the owned endpoints any more and
-/// they are left to their next owners.
+/// From the owner service to the drain service: no runs are left on the owned endpoints, and the
+/// next owners may take them over.
 struct endpoints_drained
 {
     /// Waiting runs that were returned to their origins for another owner.
--- a/corneltally/entry/drain_service.cpp
+++ b/corneltally/entry/drain_service.cpp
@@ -14,7 +14,8 @@
 
 using namespace std::chrono_literals;
 
-/// Routes bound how long a request runs; this is a last resort against a part that never reports.
+/// Last resort in case a service never reports that it is drained. Route timeouts already bound how
+/// long requests run.
 constexpr core::duration cDrainTimeout = 10min;
 
 } // namespace
--- a/corneltally/entry/drain_service.h
+++ b/corneltally/entry/drain_service.h
@@ -14,8 +14,8 @@
 
 namespace corneltally::entry {
 
-/// Shuts the process down: announces the drain, waits until the callers' requests finished and the
-/// endpoints were handed over, and stops the event loop.
+/// Shuts the process down: announces the drain, waits until the callers' requests are finished and
+/// the endpoints are handed over, and stops the event loop.
 class drain_service : public kernel::service
 {
 public:
