--- a/corneltally/entry/front_end_service.cpp
+++ b/corneltally/entry/front_end_service.cpp
@@ -23,22 +23,23 @@
 using namespace std::chrono_literals;
 
 constexpr core::duration cSweepPeriod = 100ms;
-/// Longest time that a caller may take nothing of what waits for it.
+/// Longest time that the sending of an answer may make no progress.
 constexpr core::duration cWriteTimeout = 10s;
-/// How long requests wait after a pause for proof that the tree, and with it each key, is current.
-/// An instance that is cut off serves after that, as it would without the pause.
+/// Longest time that requests wait after a pause for confirmation that the settings, and with them
+/// the keys, are current. An instance without connections serves after that, as it would without
+/// the pause.
 constexpr core::duration cMaxPauseHold = 1s;
-/// Other services answer by the deadline of a request; this is the margin for their messages.
+/// Margin for the messages of other services, which answer by the deadline of a request.
 constexpr core::duration cAnswerMargin = 2s;
-/// How long an answer to a cancelled admission or claim may still be under way.
+/// Longest wait for the answer to a cancelled admission or claim.
 constexpr core::duration cCancelMargin = 1s;
-/// Load balancers learn with a lag that an instance drains; it accepts connections meanwhile.
+/// Load balancers notice with a delay that an instance drains; it accepts connections until then.
 constexpr core::duration cDrainNoticeDelay = 1s;
 constexpr core::duration cDrainQuietPeriod = 300ms;
 /// Tokens that an engine may generate before a cancellation reaches it.
 constexpr double cCancelOverrunTokens = 16;
-/// The server closes connections with longer bodies without an error body, so that its limit is a
-/// multiple of the one that is answered.
+/// The server closes connections without an error body when a request body exceeds its limit. Its
+/// limit is therefore a multiple of the one that is answered with an error.
 constexpr std::uint64_t cServerBodyFactor = 4;
 
 http::server_limits serverLimits(http::server_limits inLimits)
@@ -93,7 +94,8 @@
 
 front_end_service::~front_end_service()
 {
-    // The server closes its connections last; their handlers must not look up requests any more.
+    // The server is destroyed after the runs and closes its connections then; their handlers must
+    // not look up runs any more.
     for (const auto &[id, running] : mRuns)
         running->caller()->onClosed(nullptr);
 }
@@ -246,7 +248,7 @@
         admit{id, running.request().account, running.chargedTokens, running.request().deadline});
 }
 
-/// Reads the idempotency headers. Repeatable routes need no claim, unless they ask for a key.
+/// Reads the idempotency headers. Repeatable routes need no claim unless they require a key.
 std::optional<core::error>
 front_end_service::readIdempotencyHeaders(caller_run &ioRun, const settings::route_view &inRoute)
 {
@@ -377,7 +379,7 @@
             if (running.request().stream)
                 trackUnsentAnswer(running.caller());
         }
-        // An aborted exchange does not report its end by itself.
+        // An aborted exchange does not call its close handler.
         if (running.pendingBytes() > mOptions.maxUnsentBytes) {
             mMetrics.count("callers_closed_total{reason=\"unread\"}");
             running.abortConnection();
@@ -391,7 +393,7 @@
     if (inEnd.outcome == run_outcome::completed) {
         settleTokens(ioRun, ioRun.request().promptTokens + inEnd.outputTokens);
         if (!ioRun.claimId.empty()) {
-            // Status 0 says that the request completed and its answer is too long to be kept.
+            // Status 0 means that the request completed, but its answer is too long to be kept.
             mRegistry.post("claims",
                            ioRun.isAnswerKept()
                                ? claim_finish{ioRun.claimKey, ioRun.claimId, ioRun.status(),
@@ -429,7 +431,7 @@
         mRegistry.post("claims", claim_cancel{inRequestId});
         break;
     case caller_run::phase::running:
-        // An order that was sent is followed to its end, so that a repeat gets its answer.
+        // An order that was sent runs to its end, so that a repeat of it gets the answer.
         if (!mayBeAbandoned(running))
             break;
         mRegistry.post("dispatch", run_abandon{inRequestId});
@@ -450,7 +452,7 @@
     complete(ioRun, inError.mayHaveRun ? "unknown" : "not_run", inEndpoint);
 }
 
-/// Ends a request before its run ended by itself.
+/// Ends a request before its run has ended.
 void front_end_service::stopRun(caller_run &ioRun, const caller_error &inError)
 {
     const std::string &id = ioRun.request().requestId;
@@ -526,7 +528,8 @@
         if (running->keyDigest.empty())
             continue;
         const settings::key_view *key = mCatalog->findKey(running->keyDigest);
-        // A call to an application service that was sent is answered: its result is an order's.
+        // A call that was sent to an application service may have carried out an order, so that its
+        // caller gets the result.
         const bool mayBeStopped = running->currentPhase != caller_run::phase::running
             || running->request().kind == settings::endpoint_kind::model;
         if ((key == nullptr || key->withdrawn) && mayBeStopped)
@@ -603,7 +606,7 @@
     if (!mRuns.empty() || !mHeldRequests.empty() || !mUnsentAnswers.empty()
         || now - mLastRequest < cDrainQuietPeriod)
         return;
-    // From here on, requests on open connections are refused, so that none is cut off by the exit.
+    // From now on requests on open connections are refused, so that the exit interrupts none.
     mDrainReported = true;
     mRegistry.post("drain", callers_drained{mFinishedInDrain});
 }
--- a/corneltally/entry/front_end_service.h
+++ b/corneltally/entry/front_end_service.h
@@ -31,21 +31,23 @@
 
 namespace corneltally::entry {
 
-/// What the front end takes from the process settings.
+/// Process settings of the front end.
 struct front_end_options
 {
     std::string instance;
     std::uint64_t incarnation = 0;
     http::address listen;
-    /// Limits of the listener; the body limit also applies to the typed refusal of long bodies.
+    /// Limits of the listener. Longer bodies than the body limit are refused with a typed error;
+    /// the connection is closed only for bodies that are a multiple of it.
     http::server_limits limits;
     /// Bytes of an answer that a caller may leave unread before its connection is closed.
     std::size_t maxUnsentBytes = 1024 * 1024;
-    /// Keeps the first catalog, so that withdrawals do not take effect; only for tests.
+    /// Ignores all catalogs after the first, so that withdrawals of keys do not take effect; only
+    /// for tests.
     bool keepFirstCatalog = false;
 };
 
-/// Serves the callers: checks keys and requests, has them admitted and claimed, starts runs and
+/// Serves the callers: checks keys and requests, requests admission and claims, starts runs and
 /// writes the answers.
 class front_end_service : public kernel::service
 {
@@ -65,7 +67,7 @@
 private:
     using exchange_pointer = std::shared_ptr<http::exchange>;
 
-    /// What is watched of an answer that the caller has not fully taken.
+    /// An answer that was not sent completely yet, and when it last made progress.
     struct unsent_answer
     {
         exchange_pointer caller;
@@ -95,7 +97,7 @@
     void stopRun(caller_run &ioRun, const caller_error &inError);
 
     void settleTokens(caller_run &ioRun, double inUsed);
-    /// Logs and counts the request and forgets it.
+    /// Logs and counts the request and removes it.
     void complete(caller_run &ioRun, std::string_view inOutcome, std::string_view inEndpoint);
     void trackUnsentAnswer(const exchange_pointer &inCaller);
 
@@ -114,7 +116,7 @@
     std::shared_ptr<const settings::catalog> mCatalog;
     std::unordered_map<std::string, std::unique_ptr<caller_run>> mRuns;
     std::vector<unsent_answer> mUnsentAnswers;
-    /// Requests that arrived after a pause, until the tree is known to be current.
+    /// Requests that arrived after a pause and wait until the settings are confirmed to be current.
     std::vector<exchange_pointer> mHeldRequests;
     std::optional<core::time_point> mHoldUntil;
     std::optional<core::time_point> mSettingsConfirmedAt;
