--- a/corneltally/entry/caller_answer.h
+++ b/corneltally/entry/caller_answer.h
@@ -11,26 +11,26 @@
 
 namespace corneltally::entry {
 
-/// A failure as a caller sees it.
+/// An error as it is reported to a caller.
 struct caller_error
 {
     core::error error;
-    /// Whether the request may have run; false is a promise that it did not.
+    /// Whether the request may have run; false guarantees that it did not.
     bool mayHaveRun = false;
-    /// Advice for 429 and 503; 0 leaves the default of one second.
+    /// Value of Retry-After for 429 and 503; 0 selects the default of one second.
     int retryAfterSeconds = 0;
 };
 
 /// Body of /v1/models: all adapters, ordered by name.
 std::string modelListBody(const settings::catalog &inCatalog);
 
-/// Body {"error":{...}} of a failure.
+/// The JSON body {"error":{...}} of an error answer.
 std::string errorBody(const caller_error &inError, std::string_view inRequestId);
 
 /// Whether an answer with this status carries Retry-After.
 bool carriesRetryAfter(int inStatus);
 
-/// A part of a stream as one server-sent event, with its final blank line.
+/// Formats a part of a stream as one server-sent event, including the final blank line.
 std::string streamEvent(std::string_view inData);
 
 /// The event that ends a complete stream.
--- a/corneltally/entry/caller_request.cpp
+++ b/corneltally/entry/caller_request.cpp
@@ -20,8 +20,8 @@
 constexpr std::string_view cCompletionsPath = "/v1/completions";
 constexpr std::string_view cChatPath = "/v1/chat/completions";
 
-/// Deepest nesting of a body. Writing a JSON value recurses, so that an unbounded depth would
-/// exhaust the stack.
+/// Maximum nesting depth of a body. Serializing a JSON value is recursive, so that an unbounded
+/// depth would exhaust the stack.
 constexpr int cMaxDepth = 64;
 
 /// The parsed text, or a discarded value if it is not JSON or nested too deeply.
@@ -52,7 +52,7 @@
     return std::max(1.0, static_cast<double>(inBytes) / cBytesPerToken);
 }
 
-/// Whether a text contains the key, directly or behind escapes of JSON.
+/// Whether a text contains the key, literally or with JSON escapes.
 bool containsKey(std::string_view inText, std::string_view inKey)
 {
     if (inKey.empty())
@@ -148,7 +148,7 @@
     return found->get<bool>();
 }
 
-/// The adapter that a model name "adapter" or "adapter@version" means.
+/// Resolves the model name of a body, "adapter" or "adapter@version", to an adapter.
 core::result<settings::adapter_view> findAdapter(const settings::catalog &inCatalog,
                                                  const json &inBody)
 {
@@ -204,9 +204,9 @@
     inBase.promptTokens = estimateTokens(*bytes);
     inBase.maxTokens = static_cast<double>(*limit);
     inBase.stream = *stream;
-    // Invalid UTF-8 is refused by the parser, so that this cannot fail.
+    // This cannot fail, since the parser rejects invalid UTF-8.
     inBase.body = body.dump();
-    // Numbers may get longer when they are written again.
+    // Serializing the body again may lengthen its numbers.
     if (inBase.body.size() > cMaxCallerBodyBytes)
         return tooLong(cMaxCallerBodyBytes);
     return inBase;
@@ -218,7 +218,7 @@
                                                               "PATCH"};
     if (std::ranges::find(cMethods, inRequest.method) == cMethods.end())
         return invalid("the route does not take this method", "send the request with POST");
-    // The query is not passed on, since it could hold credentials.
+    // The query is not passed on, since it could contain credentials.
     inBase.path = inRequest.path;
     inBase.contentType = http::findHeader(inRequest.headers, "Content-Type");
     inBase.body = inRequest.body;
@@ -287,7 +287,7 @@
 std::string claimKeyOf(std::string_view inAccount, std::string_view inRoute,
                        std::string_view inIdempotencyKey)
 {
-    // The lengths keep different triples from having the same text.
+    // The lengths keep different triples from producing the same text.
     std::string text = std::to_string(inAccount.size()) + "," + std::to_string(inRoute.size());
     text.append(":").append(inAccount).append(inRoute).append(inIdempotencyKey);
     return core::sha256Hex(text);
--- a/corneltally/entry/caller_request.h
+++ b/corneltally/entry/caller_request.h
@@ -14,7 +14,8 @@
 
 namespace corneltally::entry {
 
-/// A request as it was received. The views must outlive the calls that take it.
+/// A request as it was received. The viewed data must outlive the calls that the request is passed
+/// to.
 struct received_request
 {
     std::string_view method;
@@ -23,26 +24,26 @@
     const http::header_list &headers;
 };
 
-/// Who sent a request. Both are empty on an open route without a key.
+/// The sender of a request. Both are empty on an open route.
 struct caller_identity
 {
     std::string account;
     std::string keyDigest;
 };
 
-/// Longest body of a request: with its envelope it has to fit into a frame between instances.
+/// Longest body of a request. With its envelope it must fit into a frame between instances.
 inline constexpr std::size_t cMaxCallerBodyBytes = 960 * 1024;
 
-/// Tokens that are reserved for the answer of a request that names no limit.
+/// Tokens that are reserved for the answer if the request sets no max_tokens.
 inline constexpr long long cDefaultMaxTokens = 256;
 
-/// Greatest limit that a request may name.
+/// Greatest max_tokens that a request may set.
 inline constexpr long long cGreatestMaxTokens = 1'000'000;
 
 /// The key of the Authorization header; empty if there is none.
 std::string_view bearerKey(const http::header_list &inHeaders);
 
-/// Finds the client account of the caller's key and checks its right to the route.
+/// Finds the client account of the caller's key and checks that it may use the route.
 core::result<caller_identity> identifyCaller(const settings::catalog &inCatalog,
                                              const settings::route_view &inRoute,
                                              const http::header_list &inHeaders);
@@ -57,7 +58,7 @@
 std::string claimKeyOf(std::string_view inAccount, std::string_view inRoute,
                        std::string_view inIdempotencyKey);
 
-/// Digest that tells whether two requests with the same key are the same request.
+/// Digest of a request, to detect different requests with the same idempotency key.
 std::string requestDigestOf(const received_request &inRequest);
 
 } // namespace corneltally::entry
--- a/corneltally/entry/caller_run.h
+++ b/corneltally/entry/caller_run.h
@@ -17,16 +17,17 @@
 
 namespace corneltally::entry {
 
-/// A caller's request between its arrival and its answer. Writes the answer as it arrives.
+/// A caller's request from its arrival until its answer is complete. Writes the answer to the
+/// caller as its parts arrive.
 class caller_run
 {
 public:
-    /// Where the request is.
+    /// The stage that the request has reached.
     enum class phase : std::uint8_t { admitting, claiming, running };
 
     /// Longest answer body that is kept for repeats of a claimed request.
     static constexpr std::size_t sMaxKeptBytes = 8 * 1024;
-    /// Longest answer that is not streamed.
+    /// Longest body of an answer that is not streamed.
     static constexpr std::size_t sMaxAnswerBytes = 16 * 1024 * 1024;
 
     caller_run(std::shared_ptr<http::exchange> inCaller, run inRequest,
@@ -46,20 +47,20 @@
     std::string claimId;
     /// Asks the caller to close its connection after the answer.
     bool closeAfterAnswer = false;
-    /// When the caller closed its connection, if it did before the answer was complete.
+    /// When the caller's connection was closed, if that was before the answer was complete.
     std::optional<core::time_point> disconnectedAt;
 
     void setHead(const run_head &inHead);
-    /// Returns false if the answer grew over its limit.
+    /// Returns false if the answer exceeds sMaxAnswerBytes.
     bool addChunk(const run_chunk &inChunk);
-    /// The run completed: the rest of the answer is sent.
+    /// Sends the rest of the answer after the run completed.
     void finish();
     /// Answers with an error body, or ends a started stream with an error event.
     void fail(const caller_error &inError);
-    /// Answers with the result of an earlier request with the same key.
+    /// Answers with the result of an earlier request with the same idempotency key.
     void replay(int inStatus, const std::string &inContentType, const std::string &inBody);
 
-    /// The caller takes no more; later calls write nothing.
+    /// Closes the caller's connection; later calls write nothing.
     void abortConnection();
     bool isClosedOrAnswered() const;
     std::size_t pendingBytes() const;
@@ -69,11 +70,12 @@
     const std::string &contentType() const { return mContentType; }
     std::uint64_t partCount() const { return mPartCount; }
     bool isAnswerKept() const { return mIsAnswerKept; }
-    /// The answer as far as it is kept for repeats.
+    /// The part of the answer that is kept for repeats.
     const std::string &keptBody() const { return isStreamed() ? mKeptStream : mBody; }
 
 private:
-    /// A refusal by the endpoint is answered whole, also where a stream was asked for.
+    /// An error status of the endpoint is answered with a whole body, also if the caller asked for
+    /// a stream.
     bool isStreamed() const { return mRequest.stream && mStatus < 400; }
     http::header_list answerHeaders(const std::string &inContentType) const;
 
