--- a/corneltally/entry/caller_request.cpp
+++ b/corneltally/entry/caller_request.cpp
@@ -110,7 +110,7 @@
             const std::optional<std::size_t> content
                 = named ? contentBytes(message["content"]) : std::nullopt;
             if (!content)
-                return invalid("a message has no \"role\" or no \"content\" of text",
+                return invalid("a message has no \"role\" or no text in \"content\"",
                                "send a list of objects with \"role\" and \"content\"");
             bytes += *content;
         }
@@ -121,7 +121,8 @@
                        "send \"prompt\" for completions or \"messages\" for chat completions");
     const std::optional<std::size_t> bytes = contentBytes(inBody["prompt"]);
     if (!bytes)
-        return invalid("\"prompt\" is not a text", "send a string or a list of strings");
+        return invalid("\"prompt\" is neither a string nor a list of strings",
+                       "send a string or a list of strings");
     return *bytes;
 }
 
@@ -155,7 +156,7 @@
     const auto found = inBody.find("model");
     if (found == inBody.end() || !found->is_string()
         || found->get_ref<const std::string &>().empty())
-        return invalid("\"model\" is missing or not a text",
+        return invalid("\"model\" is missing or not a string",
                        "name an adapter of GET /v1/models, for example \"adapter\" or "
                        "\"adapter@version\"");
     const std::string_view model = found->get_ref<const std::string &>();
@@ -163,11 +164,11 @@
     const std::string_view name = model.substr(0, at);
     const settings::adapter_view *adapter = inCatalog.findAdapter(name);
     if (adapter == nullptr)
-        return core::error{core::error_kind::not_found, "there is no such adapter",
+        return core::error{core::error_kind::not_found, "the adapter does not exist",
                            "name an adapter of GET /v1/models"};
     if (at != std::string_view::npos && model.substr(at + 1) != adapter->version)
         return core::error{core::error_kind::not_found,
-                           "the adapter is in service in another version: " + adapter->version,
+                           "the adapter is served in another version: " + adapter->version,
                            "name this version, or the adapter without a version"};
     return *adapter;
 }
@@ -176,7 +177,7 @@
                                 const received_request &inRequest, run inBase)
 {
     if (inRequest.method != "POST")
-        return invalid("the route takes POST only", "send the request with POST");
+        return invalid("the route accepts POST only", "send the request with POST");
     json body = parseBounded(inRequest.body);
     if (!body.is_object())
         return invalid("the body is not a JSON object", "send a JSON object");
@@ -217,7 +218,7 @@
     static constexpr std::array<std::string_view, 5> cMethods{"GET", "POST", "PUT", "DELETE",
                                                               "PATCH"};
     if (std::ranges::find(cMethods, inRequest.method) == cMethods.end())
-        return invalid("the route does not take this method", "send the request with POST");
+        return invalid("the route does not accept this method", "send the request with POST");
     // The query is not passed on, since it could contain credentials.
     inBase.path = inRequest.path;
     inBase.contentType = http::findHeader(inRequest.headers, "Content-Type");
@@ -251,17 +252,17 @@
         return caller_identity{};
     const std::string_view key = bearerKey(inHeaders);
     if (key.empty())
-        return core::error{core::error_kind::unauthorized, "the request carries no key",
+        return core::error{core::error_kind::unauthorized, "the request has no key",
                            "send the header Authorization: Bearer <key>"};
     std::string digest = core::sha256Hex(key);
     const settings::key_view *found = inCatalog.findKey(digest);
     if (found == nullptr || found->withdrawn || inCatalog.findAccount(found->account) == nullptr)
         return core::error{core::error_kind::unauthorized, "the key is not known or was withdrawn",
-                           "use a key that is in force"};
+                           "use a valid key"};
     if (!inRoute.accounts.empty()
         && std::ranges::find(inRoute.accounts, found->account) == inRoute.accounts.end())
         return core::error{core::error_kind::forbidden, "the client account may not use this route",
-                           "ask the operator for the right to use the route"};
+                           "ask the operator for access to the route"};
     return caller_identity{.account = found->account, .keyDigest = std::move(digest)};
 }
 
--- a/corneltally/entry/front_end_service.cpp
+++ b/corneltally/entry/front_end_service.cpp
@@ -130,11 +130,12 @@
     if (inCaller->isClosed())
         return;
     if (!mCatalog || mDrainReported) {
-        refuse(inCaller,
-               notRun(core::error_kind::unavailable,
-                      mCatalog ? "the instance shuts down" : "the settings are not loaded yet",
-                      "send the request to another instance"),
-               {});
+        refuse(
+            inCaller,
+            notRun(core::error_kind::unavailable,
+                   mCatalog ? "the instance is shutting down" : "the settings are not loaded yet",
+                   "send the request to another instance"),
+            {});
         return;
     }
     if (inCaller->path() == "/v1/models") {
@@ -257,8 +258,9 @@
     if (key.empty()) {
         if (!inRoute.requireIdempotencyKey)
             return std::nullopt;
-        return core::error{core::error_kind::invalid_request, "the route needs an idempotency key",
-                           "send the header Idempotency-Key with a value unique to the order"};
+        return core::error{core::error_kind::invalid_request,
+                           "the route requires an idempotency key",
+                           "send the header Idempotency-Key with a unique value for each order"};
     }
     if (inRoute.repeatable && !inRoute.requireIdempotencyKey)
         return std::nullopt;
@@ -269,7 +271,7 @@
         if (code != std::errc() || end != first.data() + first.size())
             return core::error{core::error_kind::invalid_request,
                                "Idempotency-Time is not a number of seconds",
-                               "send the Unix time of the first try"};
+                               "send the Unix time of the first attempt"};
         if (std::time(nullptr) - seconds > mCatalog->claimWindow().count())
             return core::error{core::error_kind::conflict,
                                "the idempotency key is older than the claim window",
@@ -537,8 +539,7 @@
     }
     for (const std::string &id : withdrawn) {
         stopRun(*mRuns.at(id),
-                notRun(core::error_kind::unauthorized, "the key was withdrawn",
-                       "use a key that is in force"));
+                notRun(core::error_kind::unauthorized, "the key was withdrawn", "use a valid key"));
     }
 }
 
