--- a/corneltally/entry/front_end_service.cpp
+++ b/corneltally/entry/front_end_service.cpp
@@ -26,8 +26,7 @@
 /// Longest time that the sending of an answer may make no progress.
 constexpr core::duration cWriteTimeout = 10s;
 /// Longest time that requests wait after a pause for confirmation that the settings, and with them
-/// the keys, are current. An instance without connections serves after that, as it would without
-/// the pause.
+/// the keys, are current. An isolated instance serves after that, as it would without the pause.
 constexpr core::duration cMaxPauseHold = 1s;
 /// Margin for the messages of other services, which answer by the deadline of a request.
 constexpr core::duration cAnswerMargin = 2s;
--- a/tests/unit/entry_admission_service_test.cpp
+++ b/tests/unit/entry_admission_service_test.cpp
@@ -1,5 +1,5 @@
-// Guards against requests that get no answer from admission, against a share that is spent in the
-// first seconds of a process, and against loans or weight store limits that do not work between
+// Guards against requests that get no answer from admission, against a new process that spends a
+// share before it is in force, and against loans or weight store limits that fail between
 // instances.
 
 #include "corneltally/entry/admission_service.h"
@@ -36,7 +36,7 @@
 burst_tokens = 500
 )" + cInstances;
 
-/// An instance with the service and what it answered.
+/// An instance with the admission service, and the answers that it sent.
 struct instance
 {
     kernel::service_registry registry;
@@ -146,7 +146,7 @@
     CHECK(instances.one.isAdmitted("r2"));
 }
 
-TEST_CASE("a request above the share of the instance is served by a loan")
+TEST_CASE("a request above the share of the instance is admitted with a loan")
 {
     fleet instances;
     REQUIRE(instances.untilFull());
@@ -173,7 +173,7 @@
     CHECK(instances.one.isAdmitted("r2"));
 }
 
-TEST_CASE("requests that are cancelled, too large or of unknown accounts are answered")
+TEST_CASE("requests that are cancelled, too large or from unknown accounts are answered")
 {
     fleet instances;
     instances.one.admit("cancelled", 100);
@@ -201,14 +201,14 @@
     CHECK_FALSE(instances.one.isAdmitted("r1"));
 }
 
-TEST_CASE("weight store loads keep to the rate and to the loads in flight")
+TEST_CASE("weight store loads respect the limits of rate and loads in flight")
 {
     fleet instances;
     REQUIRE(instances.untilFull());
     const auto ask = [&](const std::string &inAdapter) {
         instances.one.registry.post("admission", entry::weight_load_admit{"e1", inAdapter, "1"});
     };
-    // Three loads a second and a burst of two over the fleet, eight in flight.
+    // The fleet-wide limits are three loads per second, a burst of two and eight loads in flight.
     ask("a1");
     ask("a2");
     ask("a3");
--- a/tests/unit/entry_caller_request_test.cpp
+++ b/tests/unit/entry_caller_request_test.cpp
@@ -1,5 +1,6 @@
 // Guards against requests that run for the wrong client account or on the wrong adapter version,
-// against keys that reach an endpoint, and against malformed requests without a typed error.
+// against keys that are passed on to an endpoint, and against malformed requests without a typed
+// error.
 
 #include "corneltally/core/digest.h"
 #include "corneltally/entry/caller_answer.h"
@@ -92,7 +93,7 @@
     }
 }
 
-TEST_CASE("a route is closed to client accounts without the right, and open routes need no key")
+TEST_CASE("a route refuses client accounts that it does not list, and open routes need no key")
 {
     const settings::catalog catalog = makeCatalog();
     const auto refused = identifyCaller(catalog, *catalog.findRoute("/orders"), cHeaders);
@@ -103,7 +104,7 @@
     CHECK(open->account.empty());
 }
 
-TEST_CASE("a request runs on the version in service and on no other one")
+TEST_CASE("a request runs on the served adapter version only")
 {
     for (const char *model : {"tone", "tone@3"}) {
         const auto built = build(std::string(R"({"prompt":"abcdefgh","model":")") + model + "\"}");
@@ -121,7 +122,7 @@
     CHECK(kindOf(build(R"({"prompt":"a","model":"tone@"})")) == core::error_kind::not_found);
 }
 
-TEST_CASE("chat requests are counted by their contents and go to the chat path")
+TEST_CASE("tokens of chat requests are estimated from their contents, and they use the chat path")
 {
     const auto built = build(
         R"({"model":"tone","max_tokens":9,"stream":true,"messages":[
--- a/tests/unit/entry_claims_service_test.cpp
+++ b/tests/unit/entry_claims_service_test.cpp
@@ -1,5 +1,5 @@
 // Guards against a claims service that grants keys without the log, that hangs after a lost answer
-// or an outage, or that two instances use without seeing each other.
+// or an outage, or that grants one key to two instances.
 
 #include "corneltally/entry/claims_service.h"
 #include "corneltally/kernel/event_loop.h"
@@ -26,7 +26,7 @@
     int loseAppends = 0;
 };
 
-/// Log client without sockets; a read that finds nothing is answered after 10 ms.
+/// Log client without sockets. Every call is answered after 10 ms, also a read that finds nothing.
 class mock_log
 {
 public:
@@ -97,7 +97,7 @@
 
 using service = entry::claims_service<mock_log>;
 
-/// An instance with the service and the answers that its front end got.
+/// An instance with the claims service, and the answers that its front end received.
 struct instance
 {
     kernel::service_registry registry;
@@ -174,7 +174,7 @@
     CHECK(loser.results.begin()->second.body == "ordered");
 }
 
-TEST_CASE("a lost answer delays a claim, but does not lose or double it")
+TEST_CASE("a lost answer delays a claim, but neither loses nor duplicates it")
 {
     fleet instances;
     SECTION("with effect")
@@ -209,7 +209,7 @@
     CHECK(instances.one.results["r2"].outcome == claim_outcome::granted);
 }
 
-TEST_CASE("a pause during an append neither blocks later claims nor doubles one")
+TEST_CASE("a pause during an append neither blocks later claims nor duplicates one")
 {
     fleet instances;
     instances.one.begin("r1");
--- a/tests/unit/entry_datapath_test.cpp
+++ b/tests/unit/entry_datapath_test.cpp
@@ -1,5 +1,5 @@
-// Guards the path of a request through two instances: answers that are lost, crossed, doubled or
-// called "not run" without proof when the owner or the caller fails.
+// Guards the path of a request through two instances against answers that are lost, mixed up,
+// duplicated or reported as "not run" without proof when the owner or the caller fails.
 
 #include "corneltally/core/digest.h"
 #include "corneltally/core/metrics.h"
@@ -313,7 +313,7 @@
     CHECK(test.north->settles.front().used == Approx(4.25));
 }
 
-TEST_CASE("parts that come twice reach the caller once and a missing part is asked for again")
+TEST_CASE("duplicate parts reach the caller once and a missing part is requested again")
 {
     fixture test;
     test.south->onSubmit = [&](const run_submit &inSubmit) {
@@ -334,7 +334,7 @@
     CHECK(call.body == events(5) + "data: [DONE]\n\n");
 }
 
-TEST_CASE("a stream is continued by the next owner after its owner stopped")
+TEST_CASE("a stream is resumed by the next owner after its owner stopped")
 {
     fixture test;
     test.south->onSubmit = [&](const run_submit &inSubmit) { test.south->answer(inSubmit, 0, 2); };
@@ -388,7 +388,7 @@
     CHECK(test.north->submits.empty());
 }
 
-TEST_CASE("a run that every endpoint refused is answered as not run with advice to wait")
+TEST_CASE("a run that every endpoint refused is answered as not run with Retry-After")
 {
     fixture test;
     test.south->onSubmit = [&](const run_submit &inSubmit) {
@@ -409,7 +409,7 @@
     CHECK(test.north->settles.front().used == 0);
 }
 
-TEST_CASE("a run is cancelled at its owner when the caller leaves")
+TEST_CASE("a run is cancelled at its owner when its caller disconnects")
 {
     fixture test;
     test.south->onSubmit = [&](const run_submit &inSubmit) { test.south->answer(inSubmit, 0, 1); };
@@ -489,7 +489,7 @@
     CHECK(test.north->releases.size() == 1);
 }
 
-TEST_CASE("an order is followed to its end when the caller leaves")
+TEST_CASE("an order runs to its end when its caller disconnects")
 {
     fixture test;
     call_state call;
@@ -519,7 +519,7 @@
     CHECK(statusOf("/v1/completions", std::string(1'000'000, 'a')) == 400);
 }
 
-TEST_CASE("a drained instance finishes its requests and reports how many")
+TEST_CASE("a draining instance finishes its requests and reports their number")
 {
     fixture test;
     std::optional<run_submit> held;
--- a/tests/unit/entry_dispatch_rules_test.cpp
+++ b/tests/unit/entry_dispatch_rules_test.cpp
@@ -1,4 +1,4 @@
-// Guards against requests that run twice, against retries that synchronise, and against answers of
+// Guards against requests that run twice, against synchronised retries, and against failed calls of
 // application services that are reported as "not run" without proof.
 
 #include "corneltally/endpoint/service_client.h"
@@ -15,7 +15,7 @@
 using endpoint::classifyAnswer;
 using endpoint::service_outcome;
 
-TEST_CASE("an unknown outcome is repeated on repeatable routes only")
+TEST_CASE("a run with an unknown outcome is repeated on repeatable routes only")
 {
     const failed_attempt unknown{.outcome = run_outcome::unknown, .remaining = 1s};
     CHECK_FALSE(mayRepeat(unknown));
@@ -54,7 +54,7 @@
     CHECK(greatest <= 80ms);
 }
 
-TEST_CASE("an application endpoint of the own failure domain that did not fail the request is used")
+TEST_CASE("endpoints without a failed attempt and in the own failure domain are preferred")
 {
     std::array<service_option, 3> options{{
         {.name = "far", .outstanding = 0},
@@ -76,14 +76,14 @@
     CHECK(chooseService(options, 0) != chooseService(options, 1));
 }
 
-TEST_CASE("the report of a replaced owner does not come back")
+TEST_CASE("the status from a replaced owner does not overwrite that of its successor")
 {
     CHECK(replacesStatus(1024, true, 2048));
     CHECK_FALSE(replacesStatus(2048, true, 1024));
     CHECK(replacesStatus(2048, false, 1024));
 }
 
-TEST_CASE("only proof makes a failed call of a service not run")
+TEST_CASE("a failed service call counts as not run only with proof")
 {
     CHECK(classifyAnswer({.outcome = http::call_outcome::not_sent}, "r").outcome
           == service_outcome::not_run);
