--- a/tests/unit/entry_claims_service_test.cpp
+++ b/tests/unit/entry_claims_service_test.cpp
@@ -162,16 +162,16 @@
     instances.one.begin("r1");
     instances.two.begin("r2");
     REQUIRE(instances.until([&] { return instances.one.has("r1") || instances.two.has("r2"); }));
-    instance &winner = instances.one.has("r1") ? instances.one : instances.two;
-    instance &loser = instances.one.has("r1") ? instances.two : instances.one;
-    const entry::claim_result granted = winner.results.begin()->second;
+    instance &holder = instances.one.has("r1") ? instances.one : instances.two;
+    instance &waiter = instances.one.has("r1") ? instances.two : instances.one;
+    const entry::claim_result granted = holder.results.begin()->second;
     CHECK(granted.outcome == claim_outcome::granted);
-    CHECK(loser.results.empty());
-    winner.registry.post("claims",
+    CHECK(waiter.results.empty());
+    holder.registry.post("claims",
                          entry::claim_finish{"k", granted.claimId, 201, "text/plain", "ordered"});
-    REQUIRE(instances.until([&] { return !loser.results.empty(); }));
-    CHECK(loser.results.begin()->second.outcome == claim_outcome::answered);
-    CHECK(loser.results.begin()->second.body == "ordered");
+    REQUIRE(instances.until([&] { return !waiter.results.empty(); }));
+    CHECK(waiter.results.begin()->second.outcome == claim_outcome::answered);
+    CHECK(waiter.results.begin()->second.body == "ordered");
 }
 
 TEST_CASE("a lost answer delays a claim, but neither loses nor duplicates it")
