--- a/corneltally/entry/caller_request.cpp
+++ b/corneltally/entry/caller_request.cpp
@@ -36,15 +36,15 @@
     return tooDeep ? json(json::value_t::discarded) : parsed;
 }
 
-core::error invalid(std::string inMessage, std::string inRemedy)
+core::error invalidRequest(std::string inMessage, std::string inRemedy)
 {
     return {core::error_kind::invalid_request, std::move(inMessage), std::move(inRemedy)};
 }
 
-core::error tooLong(std::size_t inLimit)
+core::error bodyTooLong(std::size_t inLimit)
 {
-    return invalid("the body is longer than " + std::to_string(inLimit) + " bytes",
-                   "send a shorter request");
+    return invalidRequest("the body is longer than " + std::to_string(inLimit) + " bytes",
+                          "send a shorter request");
 }
 
 double estimateTokens(std::size_t inBytes)
@@ -67,14 +67,14 @@
         != std::string::npos;
 }
 
-std::optional<core::error> findKeyInRequest(const received_request &inRequest)
+std::optional<core::error> checkKeyNotRepeated(const received_request &inRequest)
 {
     const std::string_view key = bearerKey(inRequest.headers);
     if (!containsKey(inRequest.body, key)
         && !containsKey(http::findHeader(inRequest.headers, "Content-Type"), key))
         return std::nullopt;
-    return invalid("the request repeats the key outside of the Authorization header",
-                   "send the key in the Authorization header only");
+    return invalidRequest("the request repeats the key outside of the Authorization header",
+                          "send the key in the Authorization header only");
 }
 
 /// Bytes of the texts in a message's content: a string, or an array of parts with texts.
@@ -101,8 +101,8 @@
     if (inBody.contains("messages")) {
         const json &messages = inBody["messages"];
         if (!messages.is_array() || messages.empty())
-            return invalid("\"messages\" is not a list with at least one message",
-                           "send a list of objects with \"role\" and \"content\"");
+            return invalidRequest("\"messages\" is not a list with at least one message",
+                                  "send a list of objects with \"role\" and \"content\"");
         std::size_t bytes = 0;
         for (const json &message : messages) {
             const bool named = message.is_object() && message.contains("role")
@@ -110,19 +110,20 @@
             const std::optional<std::size_t> content
                 = named ? contentBytes(message["content"]) : std::nullopt;
             if (!content)
-                return invalid("a message has no \"role\" or no text in \"content\"",
-                               "send a list of objects with \"role\" and \"content\"");
+                return invalidRequest("a message has no \"role\" or no text in \"content\"",
+                                      "send a list of objects with \"role\" and \"content\"");
             bytes += *content;
         }
         return bytes;
     }
     if (!inBody.contains("prompt"))
-        return invalid("the body has neither \"prompt\" nor \"messages\"",
-                       "send \"prompt\" for completions or \"messages\" for chat completions");
+        return invalidRequest(
+            "the body has neither \"prompt\" nor \"messages\"",
+            "send \"prompt\" for completions or \"messages\" for chat completions");
     const std::optional<std::size_t> bytes = contentBytes(inBody["prompt"]);
     if (!bytes)
-        return invalid("\"prompt\" is neither a string nor a list of strings",
-                       "send a string or a list of strings");
+        return invalidRequest("\"prompt\" is neither a string nor a list of strings",
+                              "send a string or a list of strings");
     return *bytes;
 }
 
@@ -133,9 +134,9 @@
         return cDefaultMaxTokens;
     if (!found->is_number_integer() || found->get<long long>() < 1
         || found->get<long long>() > cGreatestMaxTokens)
-        return invalid("\"max_tokens\" is not a whole number from 1 to "
-                           + std::to_string(cGreatestMaxTokens),
-                       "send a number in this range or leave it out");
+        return invalidRequest("\"max_tokens\" is not a whole number from 1 to "
+                                  + std::to_string(cGreatestMaxTokens),
+                              "send a number in this range or leave it out");
     return found->get<long long>();
 }
 
@@ -145,7 +146,7 @@
     if (found == inBody.end() || found->is_null())
         return false;
     if (!found->is_boolean())
-        return invalid("\"stream\" is neither true nor false", "send true or false");
+        return invalidRequest("\"stream\" is neither true nor false", "send true or false");
     return found->get<bool>();
 }
 
@@ -156,9 +157,9 @@
     const auto found = inBody.find("model");
     if (found == inBody.end() || !found->is_string()
         || found->get_ref<const std::string &>().empty())
-        return invalid("\"model\" is missing or not a string",
-                       "name an adapter of GET /v1/models, for example \"adapter\" or "
-                       "\"adapter@version\"");
+        return invalidRequest("\"model\" is missing or not a string",
+                              "name an adapter of GET /v1/models, for example \"adapter\" or "
+                              "\"adapter@version\"");
     const std::string_view model = found->get_ref<const std::string &>();
     const std::size_t at = model.rfind('@');
     const std::string_view name = model.substr(0, at);
@@ -177,10 +178,10 @@
                                 const received_request &inRequest, run inBase)
 {
     if (inRequest.method != "POST")
-        return invalid("the route accepts POST only", "send the request with POST");
+        return invalidRequest("the route accepts POST only", "send the request with POST");
     json body = parseBounded(inRequest.body);
     if (!body.is_object())
-        return invalid("the body is not a JSON object", "send a JSON object");
+        return invalidRequest("the body is not a JSON object", "send a JSON object");
     const core::result<settings::adapter_view> adapter = findAdapter(inCatalog, body);
     if (!adapter)
         return adapter.reason();
@@ -209,7 +210,7 @@
     inBase.body = body.dump();
     // Serializing the body again may lengthen its numbers.
     if (inBase.body.size() > cMaxCallerBodyBytes)
-        return tooLong(cMaxCallerBodyBytes);
+        return bodyTooLong(cMaxCallerBodyBytes);
     return inBase;
 }
 
@@ -218,7 +219,8 @@
     static constexpr std::array<std::string_view, 5> cMethods{"GET", "POST", "PUT", "DELETE",
                                                               "PATCH"};
     if (std::ranges::find(cMethods, inRequest.method) == cMethods.end())
-        return invalid("the route does not accept this method", "send the request with POST");
+        return invalidRequest("the route does not accept this method",
+                              "send the request with POST");
     // The query is not passed on, since it could contain credentials.
     inBase.path = inRequest.path;
     inBase.contentType = http::findHeader(inRequest.headers, "Content-Type");
@@ -271,8 +273,8 @@
 {
     const std::size_t limit = std::min(inMaxBodyBytes, cMaxCallerBodyBytes);
     if (inRequest.body.size() > limit)
-        return tooLong(limit);
-    if (const std::optional<core::error> repeated = findKeyInRequest(inRequest))
+        return bodyTooLong(limit);
+    if (const std::optional<core::error> repeated = checkKeyNotRepeated(inRequest))
         return *repeated;
     run base{.route = inRoute.name,
              .kind = inRoute.kind,
