--- a/corneltally/entry/admission_service.cpp
+++ b/corneltally/entry/admission_service.cpp
@@ -17,8 +17,8 @@
 /// Time after which a load without a reported end is assumed to have ended; a slow load takes
 /// seconds.
 constexpr core::duration cMaxLoadTime = 60s;
-/// Delay before a load is retried that would exceed the loads in flight. A load takes about 250 ms,
-/// so that one of those in flight has ended by then.
+/// Delay before the retry of a load that would exceed the loads in flight. A load takes about 250
+/// ms, so that one of several in flight has ended by then.
 constexpr core::duration cLoadRetryDelay = 100ms;
 
 int wholeSeconds(core::duration inDelay)
@@ -86,7 +86,7 @@
     const core::time_point now = core::boot_clock::now();
     const auto waiting = mWaitingAccounts.find(inCancel.requestId);
     if (waiting == mWaitingAccounts.end()) {
-        // The request was decided already. If it was admitted its whole charge is refunded, since
+        // The request was decided already. If it was admitted, its whole charge is refunded, since
         // it is not started after its cancellation.
         for (auto item = mLimits.begin(); item != mLimits.end(); ++item)
             item->second.limiter->cancel(inCancel.requestId, now);
--- a/corneltally/entry/dispatch_service.cpp
+++ b/corneltally/entry/dispatch_service.cpp
@@ -297,7 +297,8 @@
     const bool partDelivered = ioRun.nextPart > 0;
     if (partDelivered && inEnd.outcome == run_outcome::not_run
         && ioRun.resumptions < cMaxResumptions) {
-        // The instance does not or no longer own the endpoint; the stream itself still exists.
+        // The instance does not own the endpoint, or no longer owns it; the stream itself still
+        // exists.
         ++ioRun.resumptions;
         ioRun.owner.clear();
         ioRun.nextAttempt
--- a/corneltally/entry/drain_messages.h
+++ b/corneltally/entry/drain_messages.h
@@ -15,7 +15,7 @@
 /// next owners may take them over.
 struct endpoints_drained
 {
-    /// Waiting runs that were returned to their origins for another owner.
+    /// Waiting runs that were returned to their origins to be sent to another owner.
     std::uint64_t handedOver = 0;
 };
 
--- a/corneltally/entry/front_end_service.h
+++ b/corneltally/entry/front_end_service.h
@@ -37,8 +37,8 @@
     std::string instance;
     std::uint64_t incarnation = 0;
     http::address listen;
-    /// Limits of the listener. Longer bodies than the body limit are refused with a typed error;
-    /// the connection is closed only for bodies that are a multiple of it.
+    /// Limits of the listener. Bodies over the body limit are refused with a typed error. Only
+    /// above a multiple of it the connection is closed instead.
     http::server_limits limits;
     /// Bytes of an answer that a caller may leave unread before its connection is closed.
     std::size_t maxUnsentBytes = 1024 * 1024;
