--- a/corneltally/entry/dispatch_service.cpp
+++ b/corneltally/entry/dispatch_service.cpp
@@ -123,7 +123,7 @@
 void dispatch_service::attempt(dispatched_run &ioRun)
 {
     const core::time_point now = core::boot_clock::now();
-    ioRun.nextAttempt.reset();
+    ioRun.nextAttemptAt.reset();
     if (ioRun.request.kind == settings::endpoint_kind::service)
         attemptService(ioRun, now);
     else if (ioRun.nextPart > 0)
@@ -154,7 +154,7 @@
 {
     const std::optional<std::string> owner = mDirectory.ownerOf(ioRun.endpoint);
     if (!owner) {
-        ioRun.nextAttempt = inNow + cEndpointPollPeriod;
+        ioRun.nextAttemptAt = inNow + cEndpointPollPeriod;
         return;
     }
     mMetrics.count("streams_resumed_total");
@@ -182,7 +182,7 @@
 {
     if (inNow - ioRun.startedAt < cMaxEndpointWait
         && inNow + cEndpointPollPeriod < ioRun.request.deadline) {
-        ioRun.nextAttempt = inNow + cEndpointPollPeriod;
+        ioRun.nextAttemptAt = inNow + cEndpointPollPeriod;
         return;
     }
     finish(ioRun,
@@ -251,7 +251,7 @@
 {
     const auto found = mRuns.find(inEvent.requestId);
     // Late events of a previous owner belong to an earlier attempt.
-    if (found == mRuns.end() || found->second->owner != inFrom || found->second->nextAttempt)
+    if (found == mRuns.end() || found->second->owner != inFrom || found->second->nextAttemptAt)
         return;
     dispatched_run &running = *found->second;
     running.lastEventAt = core::boot_clock::now();
@@ -301,7 +301,7 @@
         // exists.
         ++ioRun.resumptions;
         ioRun.owner.clear();
-        ioRun.nextAttempt
+        ioRun.nextAttemptAt
             = now + std::min(cEndpointPollPeriod * ioRun.resumptions, cMaxResumeDelay);
         return;
     }
@@ -330,7 +330,7 @@
         return;
     }
     mMetrics.count("retries_total");
-    ioRun.nextAttempt = now + retryDelay(ioRun.attempts, mRandom());
+    ioRun.nextAttemptAt = now + retryDelay(ioRun.attempts, mRandom());
     ioRun.lastFailure = std::move(inEnd);
 }
 
@@ -341,7 +341,7 @@
     const core::time_point now = core::boot_clock::now();
     if (ioRun.nextPart > 0) {
         ioRun.owner.clear();
-        ioRun.nextAttempt = now + cEndpointPollPeriod;
+        ioRun.nextAttemptAt = now + cEndpointPollPeriod;
         return;
     }
     // The loss does not count against the endpoint's health. A lost instance affects only the runs
@@ -444,7 +444,7 @@
         const bool silent = running->request.stream && !running->owner.empty()
             && running->nextPart > 0 && now - running->lastEventAt > running->request.streamIdle;
         if (now >= running->request.deadline || silent
-            || (running->nextAttempt && now >= *running->nextAttempt))
+            || (running->nextAttemptAt && now >= *running->nextAttemptAt))
             due.push_back(id);
     }
     for (const std::string &id : due)
@@ -469,7 +469,7 @@
         end.endpoint = ioRun.endpoint;
         releaseEndpoint(ioRun, end);
         finish(ioRun, std::move(end));
-    } else if (ioRun.nextAttempt) {
+    } else if (ioRun.nextAttemptAt) {
         attempt(ioRun);
     } else {
         handleStreamLost(ioRun, "the stream was silent for too long");
--- a/corneltally/entry/dispatched_run.h
+++ b/corneltally/entry/dispatched_run.h
@@ -34,7 +34,7 @@
     std::uint64_t nextPart = 0;
     std::set<std::string, std::less<>> failedEndpoints;
     /// Time of the next attempt or continuation; set while none is under way.
-    std::optional<core::time_point> nextAttempt;
+    std::optional<core::time_point> nextAttemptAt;
     std::optional<endpoint::service_client::call_id> call;
     /// End of the last failed attempt.
     std::optional<run_end> lastFailure;
