--- a/corneltally/entry/admission_messages.h
+++ b/corneltally/entry/admission_messages.h
@@ -10,7 +10,7 @@
 namespace corneltally::entry {
 
 /// Asks the admission service to charge tokens to an account; answered with admission_result.
-struct admit
+struct admission_request
 {
     std::string requestId;
     std::string account;
@@ -18,13 +18,14 @@
     core::time_point deadline;
 };
 
-/// Cancels an admit whose caller disconnected or whose request failed before the answer.
-struct admit_cancel
+/// Cancels an admission request whose caller disconnected or whose request failed before the
+/// answer.
+struct admission_cancel
 {
     std::string requestId;
 };
 
-/// Answer to admit, sent to the front end. Without an error the tokens were charged.
+/// Answer to admission_request, sent to the front end. Without an error the tokens were charged.
 struct admission_result
 {
     std::string requestId;
@@ -34,7 +35,7 @@
 
 /// Refunds the tokens that were charged at admission and not used. Without the request id nothing
 /// is refunded, since the refund is limited by the changes of the bucket since that charge.
-struct settle
+struct charge_settle
 {
     std::string account;
     double charged = 0;
@@ -66,14 +67,14 @@
 };
 
 /// From the owner service: asks for one load within the fleet-wide limit of the weight store.
-struct weight_load_admit
+struct weight_load_request
 {
     std::string endpoint;
     std::string adapter;
     std::string version;
 };
 
-/// Answer to weight_load_admit, to the owner service.
+/// Answer to weight_load_request, to the owner service.
 struct weight_load_result
 {
     std::string endpoint;
--- a/corneltally/entry/admission_service.cpp
+++ b/corneltally/entry/admission_service.cpp
@@ -44,10 +44,12 @@
     , mStartedAt(core::boot_clock::now())
     , mWakeTimer(inRegistry.loop(), [this] { pollDue(); })
 {
-    mRegistry.handle<admit>(name(), [this](const admit &inAdmit) { receiveAdmit(inAdmit); });
-    mRegistry.handle<admit_cancel>(
-        name(), [this](const admit_cancel &inCancel) { receiveCancel(inCancel); });
-    mRegistry.handle<settle>(name(), [this](const settle &inSettle) { receiveSettle(inSettle); });
+    mRegistry.handle<admission_request>(
+        name(), [this](const admission_request &inRequest) { receiveAdmissionRequest(inRequest); });
+    mRegistry.handle<admission_cancel>(
+        name(), [this](const admission_cancel &inCancel) { receiveCancel(inCancel); });
+    mRegistry.handle<charge_settle>(
+        name(), [this](const charge_settle &inSettle) { receiveSettle(inSettle); });
     mRegistry.handle<catalog_changed>(
         name(), [this](const catalog_changed &inChange) { applyCatalog(inChange); });
     mRegistry.handle<peers_changed>(
@@ -57,31 +59,32 @@
         name(), [this](const auto &inRequest) { receiveLoanRequest(inRequest); });
     mRegistry.handle<peer_received<loan_grant>>(
         name(), [this](const auto &inGrant) { receiveLoanGrant(inGrant); });
-    mRegistry.handle<weight_load_admit>(
-        name(), [this](const weight_load_admit &inAdmit) { receiveLoadAdmit(inAdmit); });
+    mRegistry.handle<weight_load_request>(name(), [this](const weight_load_request &inRequest) {
+        receiveWeightLoadRequest(inRequest);
+    });
     mRegistry.handle<weight_load_done>(
-        name(), [this](const weight_load_done &inDone) { receiveLoadDone(inDone); });
+        name(), [this](const weight_load_done &inDone) { receiveWeightLoadDone(inDone); });
 }
 
-void admission_service::receiveAdmit(const admit &inAdmit)
+void admission_service::receiveAdmissionRequest(const admission_request &inRequest)
 {
-    const auto found = mLimits.find(inAdmit.account);
+    const auto found = mLimits.find(inRequest.account);
     if (found == mLimits.end()) {
-        refuse(inAdmit.requestId,
+        refuse(inRequest.requestId,
                {core::error_kind::unavailable,
-                "the client account " + inAdmit.account + " has no limits yet",
+                "the client account " + inRequest.account + " has no limits yet",
                 "send the request again"},
                1);
         return;
     }
     const core::time_point now = core::boot_clock::now();
-    mWaitingAccounts.insert_or_assign(inAdmit.requestId, inAdmit.account);
-    found->second.limiter->submit(inAdmit.requestId, std::max(0.0, inAdmit.tokens),
-                                  inAdmit.deadline, now);
+    mWaitingAccounts.insert_or_assign(inRequest.requestId, inRequest.account);
+    found->second.limiter->submit(inRequest.requestId, std::max(0.0, inRequest.tokens),
+                                  inRequest.deadline, now);
     poll(found, now);
 }
 
-void admission_service::receiveCancel(const admit_cancel &inCancel)
+void admission_service::receiveCancel(const admission_cancel &inCancel)
 {
     const core::time_point now = core::boot_clock::now();
     const auto waiting = mWaitingAccounts.find(inCancel.requestId);
@@ -101,7 +104,7 @@
     poll(found, now);
 }
 
-void admission_service::receiveSettle(const settle &inSettle)
+void admission_service::receiveSettle(const charge_settle &inSettle)
 {
     const auto found = mLimits.find(inSettle.account);
     if (found == mLimits.end())
@@ -237,28 +240,28 @@
     poll(found, now);
 }
 
-void admission_service::receiveLoadAdmit(const weight_load_admit &inAdmit)
+void admission_service::receiveWeightLoadRequest(const weight_load_request &inRequest)
 {
     const core::time_point now = core::boot_clock::now();
     std::erase_if(mLoadsInFlight, [&](const auto &inItem) { return inItem.second <= now; });
-    const std::string key = loadKey(inAdmit);
+    const std::string key = loadKey(inRequest);
     const auto found = mLimits.find(cWeightStoreLimit);
     if (found == mLimits.end()
         || mLoadsInFlight.size() + mWaitingLoads.size() >= mMaxLoadsInFlight) {
         mRegistry.post("owner",
-                       weight_load_result{.endpoint = inAdmit.endpoint,
-                                          .adapter = inAdmit.adapter,
-                                          .version = inAdmit.version,
+                       weight_load_result{.endpoint = inRequest.endpoint,
+                                          .adapter = inRequest.adapter,
+                                          .version = inRequest.version,
                                           .retryAfter = cLoadRetryDelay});
         return;
     }
-    if (!mWaitingLoads.emplace(key, inAdmit).second)
+    if (!mWaitingLoads.emplace(key, inRequest).second)
         return;
     found->second.limiter->submit(key, 1, now + limits::shared_limiter::cMaxWait, now);
     poll(found, now);
 }
 
-void admission_service::receiveLoadDone(const weight_load_done &inDone)
+void admission_service::receiveWeightLoadDone(const weight_load_done &inDone)
 {
     mLoadsInFlight.erase(loadKey(inDone));
 }
--- a/corneltally/entry/admission_service.h
+++ b/corneltally/entry/admission_service.h
@@ -45,16 +45,16 @@
     };
     using limit_map = std::map<std::string, limit, std::less<>>;
 
-    void receiveAdmit(const admit &inAdmit);
-    void receiveCancel(const admit_cancel &inCancel);
-    void receiveSettle(const settle &inSettle);
+    void receiveAdmissionRequest(const admission_request &inRequest);
+    void receiveCancel(const admission_cancel &inCancel);
+    void receiveSettle(const charge_settle &inSettle);
     void applyCatalog(const catalog_changed &inChange);
     void applyPeers(const peers_changed &inChange);
     void applyPause();
     void receiveLoanRequest(const peer_received<loan_request> &inRequest);
     void receiveLoanGrant(const peer_received<loan_grant> &inGrant);
-    void receiveLoadAdmit(const weight_load_admit &inAdmit);
-    void receiveLoadDone(const weight_load_done &inDone);
+    void receiveWeightLoadRequest(const weight_load_request &inRequest);
+    void receiveWeightLoadDone(const weight_load_done &inDone);
 
     void setLimit(const std::string &inName, double inRate, double inBurst, double inFraction,
                   core::time_point inNow);
@@ -83,7 +83,7 @@
 
     /// Loads that wait for the weight store's rate, and loads in flight with the time after which
     /// they are assumed to have ended.
-    std::map<std::string, weight_load_admit, std::less<>> mWaitingLoads;
+    std::map<std::string, weight_load_request, std::less<>> mWaitingLoads;
     std::map<std::string, core::time_point, std::less<>> mLoadsInFlight;
     std::size_t mMaxLoadsInFlight = 1;
 };
--- a/corneltally/entry/front_end_service.cpp
+++ b/corneltally/entry/front_end_service.cpp
@@ -243,9 +243,9 @@
         return;
     }
     running.chargedTokens = running.request().promptTokens + running.request().maxTokens;
-    mRegistry.post(
-        "admission",
-        admit{id, running.request().account, running.chargedTokens, running.request().deadline});
+    mRegistry.post("admission",
+                   admission_request{id, running.request().account, running.chargedTokens,
+                                     running.request().deadline});
 }
 
 /// Reads the idempotency headers. Repeatable routes need no claim unless they require a key.
@@ -426,7 +426,7 @@
     running.disconnectedAt = core::boot_clock::now();
     switch (running.currentPhase) {
     case caller_run::phase::admitting:
-        mRegistry.post("admission", admit_cancel{inRequestId});
+        mRegistry.post("admission", admission_cancel{inRequestId});
         break;
     case caller_run::phase::claiming:
         mRegistry.post("claims", claim_cancel{inRequestId});
@@ -460,7 +460,7 @@
     caller_error error = inError;
     switch (ioRun.currentPhase) {
     case caller_run::phase::admitting:
-        mRegistry.post("admission", admit_cancel{id});
+        mRegistry.post("admission", admission_cancel{id});
         ioRun.chargedTokens = 0;
         break;
     case caller_run::phase::claiming:
@@ -481,8 +481,8 @@
     if (ioRun.chargedTokens <= 0)
         return;
     mRegistry.post("admission",
-                   settle{ioRun.request().account, ioRun.chargedTokens,
-                          std::min(inUsed, ioRun.chargedTokens), ioRun.request().requestId});
+                   charge_settle{ioRun.request().account, ioRun.chargedTokens,
+                                 std::min(inUsed, ioRun.chargedTokens), ioRun.request().requestId});
     ioRun.chargedTokens = 0;
 }
 
--- a/corneltally/entry/owner_service.cpp
+++ b/corneltally/entry/owner_service.cpp
@@ -194,7 +194,7 @@
 void owner_service::admitLoad(const std::string &inEndpoint, const std::string &inAdapter,
                               const std::string &inVersion)
 {
-    if (mRegistry.post("admission", weight_load_admit{inEndpoint, inAdapter, inVersion}))
+    if (mRegistry.post("admission", weight_load_request{inEndpoint, inAdapter, inVersion}))
         return;
     // Without an admission service, as in tests of this service alone, nothing limits loads.
     mRegistry.post(name(), weight_load_result{inEndpoint, inAdapter, inVersion, true, {}});
--- a/tests/integration/owner_service_test.cpp
+++ b/tests/integration/owner_service_test.cpp
@@ -93,12 +93,13 @@
             "dispatch", [this](const endpoint_status &inStatus) { statuses.push_back(inStatus); });
         registry.handle<peer_send>("peers",
                                    [this](const peer_send &inSend) { sent.push_back(inSend); });
-        registry.handle<weight_load_admit>("admission", [this](const weight_load_admit &inAdmit) {
-            ++loadsAsked;
-            registry.post(
-                "owner",
-                weight_load_result{inAdmit.endpoint, inAdmit.adapter, inAdmit.version, true, {}});
-        });
+        registry.handle<weight_load_request>(
+            "admission", [this](const weight_load_request &inAdmit) {
+                ++loadsAsked;
+                registry.post("owner",
+                              weight_load_result{
+                                  inAdmit.endpoint, inAdmit.adapter, inAdmit.version, true, {}});
+            });
         registry.handle<weight_load_done>("admission",
                                           [this](const weight_load_done &) { ++loadsDone; });
         registry.handle<endpoints_drained>(
--- a/tests/unit/entry_admission_service_test.cpp
+++ b/tests/unit/entry_admission_service_test.cpp
@@ -82,8 +82,9 @@
     }
     void admit(const std::string &inId, double inTokens)
     {
-        registry.post("admission",
-                      entry::admit{inId, "harbour", inTokens, core::boot_clock::now() + 20s});
+        registry.post(
+            "admission",
+            entry::admission_request{inId, "harbour", inTokens, core::boot_clock::now() + 20s});
     }
     bool has(const std::string &inId) const { return results.contains(inId); }
     bool isAdmitted(const std::string &inId) { return has(inId) && !results[inId].error; }
@@ -167,7 +168,7 @@
     REQUIRE(instances.untilFull());
     instances.one.registry.broadcast(entry::peers_changed{});
     instances.one.admit("r1", 4000);
-    instances.one.registry.post("admission", entry::settle{"harbour", 4000, 0, "r1"});
+    instances.one.registry.post("admission", entry::charge_settle{"harbour", 4000, 0, "r1"});
     instances.one.admit("r2", 3900);
     REQUIRE(instances.until([&] { return instances.one.has("r2"); }));
     CHECK(instances.one.isAdmitted("r2"));
@@ -177,9 +178,9 @@
 {
     fleet instances;
     instances.one.admit("cancelled", 100);
-    instances.one.registry.post("admission", entry::admit_cancel{"cancelled"});
+    instances.one.registry.post("admission", entry::admission_cancel{"cancelled"});
     instances.one.admit("large", 8001);
-    instances.one.registry.post("admission", entry::admit{"unknown", "nobody", 1, {}});
+    instances.one.registry.post("admission", entry::admission_request{"unknown", "nobody", 1, {}});
     instances.one.admit("removed", 100);
     REQUIRE(instances.until([&] { return instances.one.results.size() >= 3; }));
     instances.one.setTree(cTreeWithoutAccount);
@@ -206,7 +207,7 @@
     fleet instances;
     REQUIRE(instances.untilFull());
     const auto ask = [&](const std::string &inAdapter) {
-        instances.one.registry.post("admission", entry::weight_load_admit{"e1", inAdapter, "1"});
+        instances.one.registry.post("admission", entry::weight_load_request{"e1", inAdapter, "1"});
     };
     // The fleet-wide limits are three loads per second, a burst of two and eight loads in flight.
     ask("a1");
--- a/tests/unit/entry_datapath_test.cpp
+++ b/tests/unit/entry_datapath_test.cpp
@@ -40,7 +40,7 @@
     std::string name;
     std::vector<run_submit> submits;
     std::vector<run_cancel> cancels;
-    std::vector<settle> settles;
+    std::vector<charge_settle> settles;
     std::vector<claim_finish> finishes;
     std::vector<claim_release> releases;
     std::optional<peers_changed> view;
@@ -59,11 +59,12 @@
         REQUIRE(frontEnd->listen());
         REQUIRE(peers->listen());
         handleOwnerMessages();
-        registry->handle<admit>("admission", [this](const admit &inAdmit) {
-            registry->post("front_end", admission_result{.requestId = inAdmit.requestId});
-        });
-        registry->handle<settle>("admission",
-                                 [this](const settle &inSettle) { settles.push_back(inSettle); });
+        registry->handle<admission_request>(
+            "admission", [this](const admission_request &inRequest) {
+                registry->post("front_end", admission_result{.requestId = inRequest.requestId});
+            });
+        registry->handle<charge_settle>(
+            "admission", [this](const charge_settle &inSettle) { settles.push_back(inSettle); });
         registry->handle<claim_begin>("claims", [this](const claim_begin &inBegin) {
             registry->post("front_end",
                            claim_result{.requestId = inBegin.requestId,
