--- a/corneltally/entry/admission_service.cpp
+++ b/corneltally/entry/admission_service.cpp
@@ -148,7 +148,7 @@
         found->second.limiter->setFraction(inFraction, inNow);
         return;
     }
-    // Limits of the first catalog count from the start of the process: an earlier process of this
+    // Limits of the first settings count from the start of the process: an earlier process of this
     // instance may have lent tokens before then, but not after.
     limit added;
     added.limiter = std::make_unique<limits::shared_limiter>(
--- a/corneltally/entry/caller_request.h
+++ b/corneltally/entry/caller_request.h
@@ -48,13 +48,13 @@
                                              const settings::route_view &inRoute,
                                              const http::header_list &inHeaders);
 
-/// Checks a request against its route and the catalog, and builds the run from it. The request id,
+/// Checks a request against its route and the settings, and builds the run from it. The request id,
 /// the account, the order id and the deadline are left for the caller to fill in.
 core::result<run> buildRun(const settings::catalog &inCatalog, const settings::route_view &inRoute,
                            const received_request &inRequest,
                            std::size_t inMaxBodyBytes = cMaxCallerBodyBytes);
 
-/// Key of the claim of a request: digest of client account, route and idempotency key.
+/// Key of a request's idempotency claim: digest of client account, route and idempotency key.
 std::string claimKeyOf(std::string_view inAccount, std::string_view inRoute,
                        std::string_view inIdempotencyKey);
 
--- a/corneltally/entry/claims_messages.h
+++ b/corneltally/entry/claims_messages.h
@@ -18,7 +18,7 @@
     core::time_point deadline;
 };
 
-/// Cancels a pending claim; its request was not and will not be dispatched.
+/// Cancels a pending idempotency claim; its request was not and will not be dispatched.
 struct claim_cancel
 {
     std::string requestId;
@@ -33,7 +33,8 @@
     conflict,
     /// Another request holds the key and its result is not known.
     unknown,
-    /// The claim could not be ordered through the log; the request was not and will not be run.
+    /// The idempotency claim could not be ordered through the log; the request was not and will not
+    /// be run.
     refused,
 };
 
--- a/corneltally/entry/claims_service.h
+++ b/corneltally/entry/claims_service.h
@@ -25,8 +25,8 @@
 
 namespace corneltally::entry {
 
-/// Orders claims of idempotency keys through the platform's log: connects the claim coordinator to
-/// the log and to the front end.
+/// Orders idempotency claims through the platform's log: connects the claim coordinator to the log
+/// and to the front end.
 template <platform::log_service Log>
 class claims_service : public kernel::service
 {
--- a/corneltally/entry/dispatch_rules.h
+++ b/corneltally/entry/dispatch_rules.h
@@ -53,7 +53,7 @@
                                          std::uint64_t inRandom);
 
 /// Whether a new status of an endpoint replaces the known one. The greater fencing number wins, so
-/// that a replaced owner that is still connected does not overwrite the status from its successor.
+/// that a replaced owner that is still live does not overwrite the status from its successor.
 /// Any status replaces that of an owner that is no longer live.
 bool replacesStatus(std::uint64_t inKnownFence, bool inKnownOwnerLive, std::uint64_t inNewFence);
 
--- a/corneltally/entry/dispatched_run.h
+++ b/corneltally/entry/dispatched_run.h
@@ -33,7 +33,7 @@
     /// Number of parts passed to the front end, which is the index of the next one.
     std::uint64_t nextPart = 0;
     std::set<std::string, std::less<>> failedEndpoints;
-    /// Time of the next attempt or continuation; set while none is under way.
+    /// Time of the next attempt or resume; set while none is in flight.
     std::optional<core::time_point> nextAttemptAt;
     std::optional<endpoint::service_client::call_id> call;
     /// End of the last failed attempt.
--- a/corneltally/entry/front_end_service.cpp
+++ b/corneltally/entry/front_end_service.cpp
@@ -30,7 +30,7 @@
 constexpr core::duration cMaxPauseHold = 1s;
 /// Margin for the messages of other services, which answer by the deadline of a request.
 constexpr core::duration cAnswerMargin = 2s;
-/// Longest wait for the answer to a cancelled admission or claim.
+/// Longest wait for the answer to a cancelled admission or idempotency claim.
 constexpr core::duration cCancelMargin = 1s;
 /// Load balancers notice with a delay that an instance drains; it accepts connections until then.
 constexpr core::duration cDrainNoticeDelay = 1s;
@@ -248,7 +248,8 @@
                                      running.request().deadline});
 }
 
-/// Reads the idempotency headers. Repeatable routes need no claim unless they require a key.
+/// Reads the idempotency headers. Repeatable routes need no idempotency claim unless they require a
+/// key.
 std::optional<core::error>
 front_end_service::readIdempotencyHeaders(caller_run &ioRun, const settings::route_view &inRoute)
 {
--- a/corneltally/entry/front_end_service.h
+++ b/corneltally/entry/front_end_service.h
@@ -42,13 +42,13 @@
     http::server_limits limits;
     /// Bytes of an answer that a caller may leave unread before its connection is closed.
     std::size_t maxUnsentBytes = 1024 * 1024;
-    /// Ignores all catalogs after the first, so that withdrawals of keys do not take effect; only
-    /// for tests.
+    /// Ignores all changes of the settings after the first catalog, so that withdrawals of keys do
+    /// not take effect; only for tests.
     bool keepFirstCatalog = false;
 };
 
-/// Serves the callers: checks keys and requests, requests admission and claims, starts runs and
-/// writes the answers.
+/// Serves the callers: checks keys and requests, requests admission and idempotency claims, starts
+/// runs and writes the answers.
 class front_end_service : public kernel::service
 {
 public:
