--- a/corneltally/entry/dispatch_messages.h
+++ b/corneltally/entry/dispatch_messages.h
@@ -44,7 +44,7 @@
     int running = 0;
     int queued = 0;
     double queuedTokens = 0;
-    /// Estimated wait of a new request of traffic class prompt for a resident adapter.
+    /// Estimated wait of a new request of the prompt class for a resident adapter.
     core::duration estimatedWait{};
 
     friend auto operator<=>(const endpoint_status &, const endpoint_status &) = default;
--- a/corneltally/entry/dispatch_service.cpp
+++ b/corneltally/entry/dispatch_service.cpp
@@ -26,8 +26,8 @@
 constexpr int cMaxResumptions = 20;
 constexpr core::duration cMaxResumeDelay = 1s;
 constexpr core::duration cPrunePeriod = 5s;
-/// A repeatable call to a service gets the remaining time divided by this number, so that a silent
-/// connection leaves time for another attempt.
+/// A repeatable call to a service gets the remaining time divided by this number, so that an
+/// unresponsive connection leaves time for another attempt.
 constexpr int cServiceTimeoutDivisor = 2;
 
 run_end unknownEnd(core::error_kind inKind, std::string_view inReason)
