--- a/corneltally/entry/admission_messages.h
+++ b/corneltally/entry/admission_messages.h
@@ -9,8 +9,8 @@
 
 namespace corneltally::entry {
 
-/// Asks the admission service for tokens; answered to the front end by admission_result.
-struct admit
+/// Asks the admission service to charge tokens to an account; answered with admission_result.
+struct admission_request
 {
     std::string requestId;
     std::string account;
@@ -18,13 +18,14 @@
     core::time_point deadline;
 };
 
-/// The caller left or the request failed before admission was answered.
-struct admit_cancel
+/// Cancels an admission request whose caller disconnected or whose request failed before the
+/// answer.
+struct admission_cancel
 {
     std::string requestId;
 };
 
-/// Answer to admit: no error means that the tokens were charged.
+/// Answer to admission_request, sent to the front end. Without an error the tokens were charged.
 struct admission_result
 {
     std::string requestId;
@@ -32,9 +33,9 @@
     int retryAfterSeconds = 0;
 };
 
-/// Gives back what was charged at admission and not used. Without the request's id nothing is given
-/// back, since the refund is limited by what happened to the bucket since that charge.
-struct settle
+/// Refunds the tokens that were charged at admission and not used. Without the request id nothing
+/// is refunded, since the refund is limited by the changes of the bucket since that charge.
+struct charge_settle
 {
     std::string account;
     double charged = 0;
@@ -42,7 +43,7 @@
     std::string requestId;
 };
 
-/// A peer asks for part of this instance's share of an account (fleet-wide limit).
+/// A peer asks to borrow part of this instance's share of an account's fleet-wide limit.
 struct loan_requested
 {
     std::string instance;
@@ -52,7 +53,8 @@
     double tokens = 0;
 };
 
-/// A peer lent part of its share. Usable for the given duration from when the request was sent.
+/// A peer lent part of its share. The loan is valid for the given duration from when the request
+/// was sent.
 struct loan_granted
 {
     std::string instance;
@@ -64,15 +66,15 @@
     core::duration validFor{};
 };
 
-/// Lets the owner service ask for one unit of the fleet-wide weight store limit.
-struct weight_load_admit
+/// From the owner service: asks for one load within the fleet-wide limit of the weight store.
+struct weight_load_request
 {
     std::string endpoint;
     std::string adapter;
     std::string version;
 };
 
-/// Answer to weight_load_admit, to the owner service.
+/// Answer to weight_load_request, to the owner service.
 struct weight_load_result
 {
     std::string endpoint;
@@ -82,7 +84,7 @@
     core::duration retryAfter{};
 };
 
-/// A granted load ended, so that its place among the loads in flight is free.
+/// From the owner service: a granted load ended and no longer counts as in flight.
 struct weight_load_done
 {
     std::string endpoint;
--- a/corneltally/entry/admission_service.cpp
+++ b/corneltally/entry/admission_service.cpp
@@ -13,11 +13,13 @@
 using namespace std::chrono_literals;
 
 /// Name of the weight store's limit in loan messages; no account name starts with a slash.
-constexpr std::string_view cWeightStore = "/weight_store";
-/// A load whose end was not reported counts as ended after this time; a slow load takes seconds.
+constexpr std::string_view cWeightStoreLimit = "/weight_store";
+/// Time after which a load without a reported end is assumed to have ended; a slow load takes
+/// seconds.
 constexpr core::duration cMaxLoadTime = 60s;
-/// A load takes about 250 ms, so that a place among the loads in flight is free after this time.
-constexpr core::duration cLoadRetry = 100ms;
+/// Delay before the retry of a load that would exceed the loads in flight. A load takes about 250
+/// ms, so that one of several in flight has ended by then.
+constexpr core::duration cLoadRetryDelay = 100ms;
 
 int wholeSeconds(core::duration inDelay)
 {
@@ -42,10 +44,12 @@
     , mStartedAt(core::boot_clock::now())
     , mWakeTimer(inRegistry.loop(), [this] { pollDue(); })
 {
-    mRegistry.handle<admit>(name(), [this](const admit &inAdmit) { receiveAdmit(inAdmit); });
-    mRegistry.handle<admit_cancel>(
-        name(), [this](const admit_cancel &inCancel) { receiveCancel(inCancel); });
-    mRegistry.handle<settle>(name(), [this](const settle &inSettle) { receiveSettle(inSettle); });
+    mRegistry.handle<admission_request>(
+        name(), [this](const admission_request &inRequest) { receiveAdmissionRequest(inRequest); });
+    mRegistry.handle<admission_cancel>(
+        name(), [this](const admission_cancel &inCancel) { receiveCancel(inCancel); });
+    mRegistry.handle<charge_settle>(
+        name(), [this](const charge_settle &inSettle) { receiveSettle(inSettle); });
     mRegistry.handle<catalog_changed>(
         name(), [this](const catalog_changed &inChange) { applyCatalog(inChange); });
     mRegistry.handle<peers_changed>(
@@ -55,50 +59,52 @@
         name(), [this](const auto &inRequest) { receiveLoanRequest(inRequest); });
     mRegistry.handle<peer_received<loan_grant>>(
         name(), [this](const auto &inGrant) { receiveLoanGrant(inGrant); });
-    mRegistry.handle<weight_load_admit>(
-        name(), [this](const weight_load_admit &inAdmit) { receiveLoadAdmit(inAdmit); });
+    mRegistry.handle<weight_load_request>(name(), [this](const weight_load_request &inRequest) {
+        receiveWeightLoadRequest(inRequest);
+    });
     mRegistry.handle<weight_load_done>(
-        name(), [this](const weight_load_done &inDone) { receiveLoadDone(inDone); });
+        name(), [this](const weight_load_done &inDone) { receiveWeightLoadDone(inDone); });
 }
 
-void admission_service::receiveAdmit(const admit &inAdmit)
+void admission_service::receiveAdmissionRequest(const admission_request &inRequest)
 {
-    const auto found = mLimits.find(inAdmit.account);
+    const auto found = mLimits.find(inRequest.account);
     if (found == mLimits.end()) {
-        refuse(inAdmit.requestId,
+        refuse(inRequest.requestId,
                {core::error_kind::unavailable,
-                "the client account " + inAdmit.account + " has no limits yet",
+                "the client account " + inRequest.account + " has no limits yet",
                 "send the request again"},
                1);
         return;
     }
     const core::time_point now = core::boot_clock::now();
-    mWaitingAccounts.insert_or_assign(inAdmit.requestId, inAdmit.account);
-    found->second.limiter->submit(inAdmit.requestId, std::max(0.0, inAdmit.tokens),
-                                  inAdmit.deadline, now);
+    mWaitingAccounts.insert_or_assign(inRequest.requestId, inRequest.account);
+    found->second.limiter->submit(inRequest.requestId, std::max(0.0, inRequest.tokens),
+                                  inRequest.deadline, now);
     poll(found, now);
 }
 
-void admission_service::receiveCancel(const admit_cancel &inCancel)
+void admission_service::receiveCancel(const admission_cancel &inCancel)
 {
     const core::time_point now = core::boot_clock::now();
     const auto waiting = mWaitingAccounts.find(inCancel.requestId);
     if (waiting == mWaitingAccounts.end()) {
-        // It was decided already; an admitted request is not started after its cancellation.
+        // The request was decided already. If it was admitted, its whole charge is refunded, since
+        // it is not started after its cancellation.
         for (auto item = mLimits.begin(); item != mLimits.end(); ++item)
             item->second.limiter->cancel(inCancel.requestId, now);
         return;
     }
     const auto found = mLimits.find(waiting->second);
     mWaitingAccounts.erase(waiting);
-    refuse(inCancel.requestId, {core::error_kind::timeout, "the request was given up", ""}, 0);
+    refuse(inCancel.requestId, {core::error_kind::timeout, "the request was cancelled", ""}, 0);
     if (found == mLimits.end())
         return;
     found->second.limiter->cancel(inCancel.requestId, now);
     poll(found, now);
 }
 
-void admission_service::receiveSettle(const settle &inSettle)
+void admission_service::receiveSettle(const charge_settle &inSettle)
 {
     const auto found = mLimits.find(inSettle.account);
     if (found == mLimits.end())
@@ -117,13 +123,14 @@
     const bool isListed = catalog.findInstance(mInstance) != nullptr;
     const double share = mIgnoreShares ? 1.0 : 1.0 / instances;
     const double fraction = isListed ? share : 0.0;
-    std::set<std::string, std::less<>> names{std::string(cWeightStore)};
+    std::set<std::string, std::less<>> names{std::string(cWeightStoreLimit)};
     for (const auto &[account, view] : catalog.accounts()) {
         names.insert(account);
         setLimit(account, view.rateTokensPerSecond, view.burstTokens, fraction, now);
     }
-    // A burst of one load per instance: a share below one load could never be spent.
-    setLimit(std::string(cWeightStore), catalog.weightLoadsPerSecond(), instances, fraction, now);
+    // The burst is one load per instance, since a share below one load could never be used.
+    setLimit(std::string(cWeightStoreLimit), catalog.weightLoadsPerSecond(), instances, fraction,
+             now);
     mMaxLoadsInFlight = std::max<std::size_t>(
         1, static_cast<std::size_t>(std::floor(catalog.weightLoadsInFlight() * fraction)));
     removeLimits(names, now);
@@ -141,8 +148,8 @@
         found->second.limiter->setFraction(inFraction, inNow);
         return;
     }
-    // Limits of the first catalog count from the start of the process: an earlier process may have
-    // lent before then, but not after.
+    // Limits of the first settings count from the start of the process: an earlier process of this
+    // instance may have lent tokens before then, but not after.
     limit added;
     added.limiter = std::make_unique<limits::shared_limiter>(
         inRate, inBurst, inFraction, mHasCatalog ? inNow : mStartedAt, mIncarnation);
@@ -178,7 +185,7 @@
 void admission_service::applyPeers(const peers_changed &inChange)
 {
     mPeers.clear();
-    // A draining instance takes no new requests, so that it has most to lend.
+    // Draining instances come first: they accept no new requests, so that they have most to lend.
     for (const auto *names : {&inChange.draining, &inChange.live}) {
         for (const std::string &peer : *names) {
             if (peer != mInstance)
@@ -206,7 +213,7 @@
         return;
     const limits::fleet_share::loan loan = found->second.limiter->lend(
         inRequest.instance, request.loanId, request.rate, request.tokens, core::boot_clock::now());
-    // An empty answer lets the borrower ask the next peer at once.
+    // An empty grant is sent too, so that the borrower asks the next peer at once.
     mRegistry.post("peers",
                    peer_send{inRequest.instance,
                              loan_grant{.account = request.account,
@@ -233,28 +240,28 @@
     poll(found, now);
 }
 
-void admission_service::receiveLoadAdmit(const weight_load_admit &inAdmit)
+void admission_service::receiveWeightLoadRequest(const weight_load_request &inRequest)
 {
     const core::time_point now = core::boot_clock::now();
     std::erase_if(mLoadsInFlight, [&](const auto &inItem) { return inItem.second <= now; });
-    const std::string key = loadKey(inAdmit);
-    const auto found = mLimits.find(cWeightStore);
+    const std::string key = loadKey(inRequest);
+    const auto found = mLimits.find(cWeightStoreLimit);
     if (found == mLimits.end()
         || mLoadsInFlight.size() + mWaitingLoads.size() >= mMaxLoadsInFlight) {
         mRegistry.post("owner",
-                       weight_load_result{.endpoint = inAdmit.endpoint,
-                                          .adapter = inAdmit.adapter,
-                                          .version = inAdmit.version,
-                                          .retryAfter = cLoadRetry});
+                       weight_load_result{.endpoint = inRequest.endpoint,
+                                          .adapter = inRequest.adapter,
+                                          .version = inRequest.version,
+                                          .retryAfter = cLoadRetryDelay});
         return;
     }
-    if (!mWaitingLoads.emplace(key, inAdmit).second)
+    if (!mWaitingLoads.emplace(key, inRequest).second)
         return;
     found->second.limiter->submit(key, 1, now + limits::shared_limiter::cMaxWait, now);
     poll(found, now);
 }
 
-void admission_service::receiveLoadDone(const weight_load_done &inDone)
+void admission_service::receiveWeightLoadDone(const weight_load_done &inDone)
 {
     mLoadsInFlight.erase(loadKey(inDone));
 }
@@ -266,10 +273,10 @@
     for (const limits::shared_limiter::decision &decision : actions.decisions) {
         const bool isAdmitted = decision.outcome == limits::limiter_outcome::admitted;
         (isAdmitted ? entry.admitted : entry.refused) += 1;
-        if (inLimit->first == cWeightStore)
-            reportLoad(decision);
+        if (inLimit->first == cWeightStoreLimit)
+            postLoadDecision(decision);
         else
-            report(inLimit->first, decision);
+            postDecision(inLimit->first, decision);
     }
     if (actions.loanRequest)
         mRegistry.post("peers",
@@ -303,14 +310,14 @@
     entry.wakeAt = inWakeAt;
     if (!inWakeAt)
         return;
-    // The timer counts whole milliseconds at best; an early wake would only poll once more.
+    // Timers have a resolution of 1 ms at best; an earlier wake would only cause an extra poll.
     entry.wakeAt = std::max(*inWakeAt, core::boot_clock::now() + 1ms);
     mWakes.emplace(*entry.wakeAt, inLimit->first);
     mWakeTimer.startOnce(mWakes.begin()->first - core::boot_clock::now());
 }
 
-void admission_service::report(const std::string &inName,
-                               const limits::shared_limiter::decision &inDecision)
+void admission_service::postDecision(const std::string &inName,
+                                     const limits::shared_limiter::decision &inDecision)
 {
     mWaitingAccounts.erase(inDecision.requestId);
     switch (inDecision.outcome) {
@@ -334,7 +341,7 @@
     }
 }
 
-void admission_service::reportLoad(const limits::shared_limiter::decision &inDecision)
+void admission_service::postLoadDecision(const limits::shared_limiter::decision &inDecision)
 {
     const auto found = mWaitingLoads.find(inDecision.requestId);
     if (found == mWaitingLoads.end())
@@ -349,8 +356,8 @@
     if (isGranted) {
         const core::time_point now = core::boot_clock::now();
         mLoadsInFlight.insert_or_assign(found->first, now + cMaxLoadTime);
-        // A load uses its whole token; nothing is given back later.
-        mLimits.find(cWeightStore)->second.limiter->settle(found->first, 1, now);
+        // A load uses its whole token; nothing is refunded later.
+        mLimits.find(cWeightStoreLimit)->second.limiter->settle(found->first, 1, now);
     }
     mWaitingLoads.erase(found);
 }
--- a/corneltally/entry/admission_service.h
+++ b/corneltally/entry/admission_service.h
@@ -20,13 +20,13 @@
 
 namespace corneltally::entry {
 
-/// Enforces the fleet-wide limits of client accounts and of the weight store with the shares of
-/// this instance, and exchanges loans with peers.
+/// Enforces this instance's shares of the fleet-wide limits of client accounts and of the weight
+/// store, and exchanges loans with peers.
 class admission_service : public kernel::service
 {
 public:
-    /// The incarnation starts the numbering of loans. Without shares each instance enforces the
-    /// whole limits alone; only for tests.
+    /// Loan ids are numbered from the incarnation. With inIgnoreShares each instance enforces the
+    /// whole limits on its own; only for tests.
     admission_service(kernel::service_registry &inRegistry, std::string inInstance,
                       std::uint64_t inIncarnation, bool inIgnoreShares = false);
 
@@ -35,7 +35,7 @@
     std::string dump() const override;
 
 private:
-    /// A limit by name: a client account, or the weight store.
+    /// The limit of a client account or of the weight store.
     struct limit
     {
         std::unique_ptr<limits::shared_limiter> limiter;
@@ -45,16 +45,16 @@
     };
     using limit_map = std::map<std::string, limit, std::less<>>;
 
-    void receiveAdmit(const admit &inAdmit);
-    void receiveCancel(const admit_cancel &inCancel);
-    void receiveSettle(const settle &inSettle);
+    void receiveAdmissionRequest(const admission_request &inRequest);
+    void receiveCancel(const admission_cancel &inCancel);
+    void receiveSettle(const charge_settle &inSettle);
     void applyCatalog(const catalog_changed &inChange);
     void applyPeers(const peers_changed &inChange);
     void applyPause();
     void receiveLoanRequest(const peer_received<loan_request> &inRequest);
     void receiveLoanGrant(const peer_received<loan_grant> &inGrant);
-    void receiveLoadAdmit(const weight_load_admit &inAdmit);
-    void receiveLoadDone(const weight_load_done &inDone);
+    void receiveWeightLoadRequest(const weight_load_request &inRequest);
+    void receiveWeightLoadDone(const weight_load_done &inDone);
 
     void setLimit(const std::string &inName, double inRate, double inBurst, double inFraction,
                   core::time_point inNow);
@@ -62,8 +62,9 @@
     void poll(limit_map::iterator inLimit, core::time_point inNow);
     void pollDue();
     void scheduleWake(limit_map::iterator inLimit, std::optional<core::time_point> inWakeAt);
-    void report(const std::string &inName, const limits::shared_limiter::decision &inDecision);
-    void reportLoad(const limits::shared_limiter::decision &inDecision);
+    void postDecision(const std::string &inName,
+                      const limits::shared_limiter::decision &inDecision);
+    void postLoadDecision(const limits::shared_limiter::decision &inDecision);
     void refuse(const std::string &inRequestId, core::error inError, int inRetryAfterSeconds);
 
     kernel::service_registry &mRegistry;
@@ -73,16 +74,16 @@
     core::time_point mStartedAt;
     bool mHasCatalog = false;
     limit_map mLimits;
-    /// Account of each request that waits.
+    /// Accounts of the waiting requests, by request id.
     std::map<std::string, std::string, std::less<>> mWaitingAccounts;
     std::vector<std::string> mPeers;
-    /// Limits by the time at which they are polled next.
+    /// Time of the next poll and name of each limit that waits for one.
     std::set<std::pair<core::time_point, std::string>> mWakes;
     kernel::timer mWakeTimer;
 
     /// Loads that wait for the weight store's rate, and loads in flight with the time after which
-    /// they count as ended.
-    std::map<std::string, weight_load_admit, std::less<>> mWaitingLoads;
+    /// they are assumed to have ended.
+    std::map<std::string, weight_load_request, std::less<>> mWaitingLoads;
     std::map<std::string, core::time_point, std::less<>> mLoadsInFlight;
     std::size_t mMaxLoadsInFlight = 1;
 };
--- a/corneltally/entry/dispatch_rules.cpp
+++ b/corneltally/entry/dispatch_rules.cpp
@@ -10,14 +10,14 @@
 
 using namespace std::chrono_literals;
 
-constexpr core::duration cFirstDelayBound = 20ms;
-constexpr core::duration cLastDelayBound = 1s;
+constexpr core::duration cInitialDelayBound = 20ms;
+constexpr core::duration cMaxDelayBound = 1s;
 
 } // namespace
 
 bool mayRepeat(const failed_attempt &inAttempt)
 {
-    if (inAttempt.outcome == run_outcome::completed || inAttempt.partReached
+    if (inAttempt.outcome == run_outcome::completed || inAttempt.partDelivered
         || inAttempt.attempts >= cMaxAttempts || inAttempt.remaining <= core::duration(0))
         return false;
     return inAttempt.outcome == run_outcome::not_run || inAttempt.repeatable;
@@ -25,9 +25,9 @@
 
 core::duration retryDelay(int inAttempts, std::uint64_t inRandom)
 {
-    // The 53 bits that a double holds give a number in [0, 1).
+    // The upper 53 bits, the precision of a double, give a number in [0, 1).
     const double uniform = static_cast<double>(inRandom >> 11U) * 0x1p-53;
-    return limits::retryDelay(inAttempts - 1, cFirstDelayBound, cLastDelayBound, uniform);
+    return limits::retryDelay(inAttempts - 1, cInitialDelayBound, cMaxDelayBound, uniform);
 }
 
 std::optional<std::size_t> chooseService(std::span<const service_option> inOptions,
@@ -39,7 +39,7 @@
         const service_option &option = inOptions[index];
         if (!option.mayStart || option.healthWeight <= 0)
             continue;
-        // The last element breaks ties differently for each request.
+        // The last element breaks ties at random.
         const std::tuple<bool, bool, double, std::size_t> rank{
             option.excluded, !option.sameDomain, (option.outstanding + 1) / option.healthWeight,
             (index + inRandom) % inOptions.size()};
--- a/corneltally/entry/dispatch_service.cpp
+++ b/corneltally/entry/dispatch_service.cpp
@@ -17,18 +17,18 @@
 using namespace std::chrono_literals;
 
 constexpr core::duration cSweepPeriod = 20ms;
-/// Longest wait for an endpoint that takes the run: peers detect a dead owner in 2 s and take its
-/// endpoints over within 3 s.
-constexpr core::duration cEndpointWait = 5s;
-constexpr core::duration cEndpointPoll = 50ms;
-/// Refusals to continue a stream before it is given up. With their delays they span the time in
-/// which a draining owner, which continues no streams, hands its endpoint over.
+/// Longest wait for an endpoint that accepts the run. Peers detect a dead owner in 2 s and take
+/// over its endpoints within 3 s.
+constexpr core::duration cMaxEndpointWait = 5s;
+constexpr core::duration cEndpointPollPeriod = 50ms;
+/// Attempts to resume a stream before it fails. With their delays they cover the time in which a
+/// draining owner, which resumes no streams, hands over its endpoint.
 constexpr int cMaxResumptions = 20;
-constexpr core::duration cResumeDelayLimit = 1s;
+constexpr core::duration cMaxResumeDelay = 1s;
 constexpr core::duration cPrunePeriod = 5s;
-/// A call to a service that may be repeated gets this part of the remaining time, so that a
-/// connection that went silent leaves time for another attempt.
-constexpr int cServiceTimeParts = 2;
+/// A repeatable call to a service gets the remaining time divided by this number, so that an
+/// unresponsive connection leaves time for another attempt.
+constexpr int cServiceTimeoutDivisor = 2;
 
 run_end unknownEnd(core::error_kind inKind, std::string_view inReason)
 {
@@ -52,7 +52,7 @@
     , mMetrics(inMetrics)
     , mInstance(std::move(inInstance))
     , mDirectory(mInstance)
-    , mServices(inRegistry.loop())
+    , mServiceClient(inRegistry.loop())
     , mSweep(inRegistry.loop(), [this] { sweep(); })
     , mRandom(std::random_device()())
     , mRetryBudget(core::boot_clock::now())
@@ -62,10 +62,10 @@
     mRegistry.handle<run_abandon>(
         name(), [this](const run_abandon &inAbandon) { abandon(inAbandon.requestId); });
     mRegistry.handle<run_event>(
-        name(), [this](const run_event &inEvent) { takeEvent(inEvent, mInstance); });
+        name(), [this](const run_event &inEvent) { handleEvent(inEvent, mInstance); });
     mRegistry.handle<peer_received<run_event>>(
         name(), [this](const peer_received<run_event> &inReceived) {
-            takeEvent(inReceived.message, inReceived.instance);
+            handleEvent(inReceived.message, inReceived.instance);
         });
     mRegistry.handle<endpoint_status>(name(), [this](const endpoint_status &inStatus) {
         mDirectory.takeStatus(inStatus, core::boot_clock::now());
@@ -82,7 +82,8 @@
     mRegistry.handle<peer_connected>(name(), [this](const peer_connected &inConnected) {
         mDirectory.setConnected(inConnected.instance, true);
     });
-    mRegistry.handle<peer_lost>(name(), [this](const peer_lost &inLost) { applyLost(inLost); });
+    mRegistry.handle<peer_lost>(name(),
+                                [this](const peer_lost &inLost) { handlePeerLost(inLost); });
 }
 
 dispatch_service::~dispatch_service() = default;
@@ -99,7 +100,7 @@
     auto added = std::make_unique<dispatched_run>();
     added->request = inRun;
     added->startedAt = now;
-    added->lastEvent = now;
+    added->lastEventAt = now;
     dispatched_run &running = *added;
     mRuns.insert_or_assign(inRun.requestId, std::move(added));
     attempt(running);
@@ -113,7 +114,7 @@
     dispatched_run &running = *found->second;
     cancelAtOwner(running);
     if (running.call)
-        mServices.cancel(*running.call);
+        mServiceClient.cancel(*running.call);
     if (!running.endpoint.empty())
         mDirectory.abandoned(running.request, running.endpoint, core::boot_clock::now());
     mRuns.erase(found);
@@ -122,7 +123,7 @@
 void dispatch_service::attempt(dispatched_run &ioRun)
 {
     const core::time_point now = core::boot_clock::now();
-    ioRun.nextAttempt.reset();
+    ioRun.nextAttemptAt.reset();
     if (ioRun.request.kind == settings::endpoint_kind::service)
         attemptService(ioRun, now);
     else if (ioRun.nextPart > 0)
@@ -134,11 +135,11 @@
 void dispatch_service::attemptModel(dispatched_run &ioRun, core::time_point inNow)
 {
     std::optional<std::string> chosen
-        = mDirectory.chooseModel(ioRun.request, ioRun.refusedBy, inNow, mRandom());
+        = mDirectory.chooseModel(ioRun.request, ioRun.failedEndpoints, inNow, mRandom());
     const std::optional<std::string> owner = chosen ? mDirectory.ownerOf(*chosen) : std::nullopt;
     if (!owner) {
-        // All that refused it once may take it later.
-        ioRun.refusedBy.clear();
+        // Endpoints where earlier attempts failed may accept the run later.
+        ioRun.failedEndpoints.clear();
         waitForEndpoint(ioRun, inNow);
         return;
     }
@@ -148,12 +149,12 @@
     submit(ioRun, *owner, inNow);
 }
 
-/// Continues a stream at the endpoint that runs it, through whichever instance owns it now.
+/// Resumes a stream at its endpoint, through the instance that owns the endpoint now.
 void dispatch_service::resume(dispatched_run &ioRun, core::time_point inNow)
 {
     const std::optional<std::string> owner = mDirectory.ownerOf(ioRun.endpoint);
     if (!owner) {
-        ioRun.nextAttempt = inNow + cEndpointPoll;
+        ioRun.nextAttemptAt = inNow + cEndpointPollPeriod;
         return;
     }
     mMetrics.count("streams_resumed_total");
@@ -164,7 +165,7 @@
                               core::time_point inNow)
 {
     ioRun.owner = inOwner;
-    ioRun.lastEvent = inNow;
+    ioRun.lastEventAt = inNow;
     run_submit message{.request = ioRun.request,
                        .endpoint = ioRun.endpoint,
                        .origin = mInstance,
@@ -174,24 +175,25 @@
         return;
     }
     if (!mRegistry.post("owner", std::move(message)))
-        takeEnd(ioRun, notRunEnd(core::error_kind::unavailable, "the endpoint has no owner"));
+        handleEnd(ioRun, notRunEnd(core::error_kind::unavailable, "the endpoint has no owner"));
 }
 
 void dispatch_service::waitForEndpoint(dispatched_run &ioRun, core::time_point inNow)
 {
-    if (inNow - ioRun.startedAt < cEndpointWait && inNow + cEndpointPoll < ioRun.request.deadline) {
-        ioRun.nextAttempt = inNow + cEndpointPoll;
+    if (inNow - ioRun.startedAt < cMaxEndpointWait
+        && inNow + cEndpointPollPeriod < ioRun.request.deadline) {
+        ioRun.nextAttemptAt = inNow + cEndpointPollPeriod;
         return;
     }
     finish(ioRun,
            ioRun.lastFailure.value_or(
-               notRunEnd(core::error_kind::unavailable, "no endpoint takes the request")));
+               notRunEnd(core::error_kind::unavailable, "no endpoint accepts the request")));
 }
 
 void dispatch_service::attemptService(dispatched_run &ioRun, core::time_point inNow)
 {
     std::optional<std::string> chosen
-        = mDirectory.chooseService(ioRun.request, ioRun.refusedBy, inNow, mRandom());
+        = mDirectory.chooseService(ioRun.request, ioRun.failedEndpoints, inNow, mRandom());
     if (!chosen) {
         waitForEndpoint(ioRun, inNow);
         return;
@@ -200,28 +202,28 @@
     ++ioRun.attempts;
     ioRun.endpoint = std::move(*chosen);
     ioRun.owner.clear();
-    ioRun.lastEvent = inNow;
+    ioRun.lastEventAt = inNow;
     mDirectory.started(request, ioRun.endpoint, inNow);
     core::duration timeout = request.deadline - inNow;
     if (request.repeatable && ioRun.attempts < cMaxAttempts)
-        timeout /= cServiceTimeParts;
-    ioRun.call
-        = mServices.call({.target = http::parseAddress(mDirectory.find(ioRun.endpoint)->address),
-                          .method = request.method,
-                          .path = request.path,
-                          .contentType = request.contentType,
-                          .body = request.body,
-                          .requestId = request.requestId,
-                          .orderId = request.orderId,
-                          .timeout = timeout,
-                          .freshConnection = !request.repeatable},
-                         [this, id = request.requestId](const endpoint::service_answer &inAnswer) {
-                             takeServiceAnswer(id, inAnswer);
-                         });
+        timeout /= cServiceTimeoutDivisor;
+    ioRun.call = mServiceClient.call(
+        {.target = http::parseAddress(mDirectory.find(ioRun.endpoint)->address),
+         .method = request.method,
+         .path = request.path,
+         .contentType = request.contentType,
+         .body = request.body,
+         .requestId = request.requestId,
+         .orderId = request.orderId,
+         .timeout = timeout,
+         .freshConnection = !request.repeatable},
+        [this, id = request.requestId](const endpoint::service_answer &inAnswer) {
+            handleServiceAnswer(id, inAnswer);
+        });
 }
 
-void dispatch_service::takeServiceAnswer(const std::string &inRequestId,
-                                         const endpoint::service_answer &inAnswer)
+void dispatch_service::handleServiceAnswer(const std::string &inRequestId,
+                                           const endpoint::service_answer &inAnswer)
 {
     const auto found = mRuns.find(inRequestId);
     if (found == mRuns.end())
@@ -232,114 +234,118 @@
     case endpoint::service_outcome::answered:
         forward(running, {inRequestId, run_head{inAnswer.status, inAnswer.contentType}});
         forward(running, {inRequestId, run_chunk{0, inAnswer.body}});
-        takeEnd(running, {.outcome = run_outcome::completed});
+        handleEnd(running, {.outcome = run_outcome::completed});
         break;
     case endpoint::service_outcome::not_run:
-        takeEnd(running,
-                notRunEnd(core::error_kind::unavailable, inAnswer.reason,
-                          std::max(1, inAnswer.retryAfterSeconds)));
+        handleEnd(running,
+                  notRunEnd(core::error_kind::unavailable, inAnswer.reason,
+                            std::max(1, inAnswer.retryAfterSeconds)));
         break;
     case endpoint::service_outcome::unknown:
-        takeEnd(running, unknownEnd(core::error_kind::outcome_unknown, inAnswer.reason));
+        handleEnd(running, unknownEnd(core::error_kind::outcome_unknown, inAnswer.reason));
         break;
     }
 }
 
-void dispatch_service::takeEvent(const run_event &inEvent, const std::string &inFrom)
+void dispatch_service::handleEvent(const run_event &inEvent, const std::string &inFrom)
 {
     const auto found = mRuns.find(inEvent.requestId);
-    // Late events of an owner that was given up belong to an earlier attempt.
-    if (found == mRuns.end() || found->second->owner != inFrom || found->second->nextAttempt)
+    // Late events of a previous owner belong to an earlier attempt.
+    if (found == mRuns.end() || found->second->owner != inFrom || found->second->nextAttemptAt)
         return;
     dispatched_run &running = *found->second;
-    running.lastEvent = core::boot_clock::now();
+    running.lastEventAt = core::boot_clock::now();
     if (const auto *head = std::get_if<run_head>(&inEvent.event)) {
         if (!std::exchange(running.headSent, true))
             forward(running, {inEvent.requestId, *head});
     } else if (const auto *chunk = std::get_if<run_chunk>(&inEvent.event)) {
-        takeChunk(running, *chunk);
+        handleChunk(running, *chunk);
     } else {
-        takeEnd(running, std::get<run_end>(inEvent.event));
+        handleEnd(running, std::get<run_end>(inEvent.event));
     }
 }
 
-void dispatch_service::takeChunk(dispatched_run &ioRun, const run_chunk &inChunk)
+void dispatch_service::handleChunk(dispatched_run &ioRun, const run_chunk &inChunk)
 {
-    // A part that was received before the stream was resumed.
+    // The part was already received before the stream was resumed.
     if (inChunk.index < ioRun.nextPart)
         return;
     if (inChunk.index > ioRun.nextPart) {
-        streamLost(ioRun, "a part of the stream is missing");
+        handleStreamLost(ioRun, "a part of the stream is missing");
         return;
     }
     ++ioRun.nextPart;
     forward(ioRun, {ioRun.request.requestId, inChunk});
 }
 
-void dispatch_service::takeEnd(dispatched_run &ioRun, run_end inEnd)
+void dispatch_service::handleEnd(dispatched_run &ioRun, run_end inEnd)
 {
     if (inEnd.endpoint.empty())
         inEnd.endpoint = ioRun.endpoint;
     if (inEnd.outcome == run_outcome::completed) {
-        leaveEndpoint(ioRun, inEnd);
+        releaseEndpoint(ioRun, inEnd);
         finish(ioRun, std::move(inEnd));
         return;
     }
-    attemptFailed(ioRun, std::move(inEnd));
+    handleFailedAttempt(ioRun, std::move(inEnd));
 }
 
-/// Decides between another attempt, the continuation of a stream and the end of the run.
-void dispatch_service::attemptFailed(dispatched_run &ioRun, run_end inEnd)
+/// Retries the run, resumes its stream or ends the run.
+void dispatch_service::handleFailedAttempt(dispatched_run &ioRun, run_end inEnd)
 {
     const core::time_point now = core::boot_clock::now();
-    const bool partReached = ioRun.nextPart > 0;
-    if (partReached && inEnd.outcome == run_outcome::not_run
+    const bool partDelivered = ioRun.nextPart > 0;
+    if (partDelivered && inEnd.outcome == run_outcome::not_run
         && ioRun.resumptions < cMaxResumptions) {
-        // The instance does not own the endpoint (any more); the stream itself still exists.
+        // The instance does not own the endpoint, or no longer owns it; the stream itself still
+        // exists.
         ++ioRun.resumptions;
         ioRun.owner.clear();
-        ioRun.nextAttempt = now + std::min(cEndpointPoll * ioRun.resumptions, cResumeDelayLimit);
+        ioRun.nextAttemptAt
+            = now + std::min(cEndpointPollPeriod * ioRun.resumptions, cMaxResumeDelay);
         return;
     }
-    if (partReached && inEnd.outcome == run_outcome::not_run)
-        inEnd = unknownEnd(core::error_kind::outcome_unknown, "the stream could not be continued");
-    ioRun.refusedBy.insert(ioRun.endpoint);
-    leaveEndpoint(ioRun, inEnd);
-    // A change of owner returns all waiting runs at once, and each was only to be sent elsewhere.
+    if (partDelivered && inEnd.outcome == run_outcome::not_run)
+        inEnd = unknownEnd(core::error_kind::outcome_unknown, "the stream could not be resumed");
+    ioRun.failedEndpoints.insert(ioRun.endpoint);
+    releaseEndpoint(ioRun, inEnd);
+    // A change of owner returns all waiting runs at once. They did not fail but need another owner,
+    // so that their retries are not charged to the retry budget.
     const bool redirected
         = inEnd.outcome == run_outcome::not_run && inEnd.error.kind == core::error_kind::conflict;
     repeatOrFinish(ioRun, std::move(inEnd), !redirected);
 }
 
-void dispatch_service::repeatOrFinish(dispatched_run &ioRun, run_end inEnd, bool inBudgeted)
+void dispatch_service::repeatOrFinish(dispatched_run &ioRun, run_end inEnd, bool inUseRetryBudget)
 {
     const core::time_point now = core::boot_clock::now();
     ioRun.mayHaveRun = ioRun.mayHaveRun || inEnd.outcome == run_outcome::unknown;
     const failed_attempt failed{.outcome = inEnd.outcome,
                                 .repeatable = ioRun.request.repeatable,
-                                .partReached = ioRun.nextPart > 0,
+                                .partDelivered = ioRun.nextPart > 0,
                                 .attempts = ioRun.attempts,
                                 .remaining = ioRun.request.deadline - now};
-    if (!mayRepeat(failed) || (inBudgeted && !takeRetryBudget())) {
+    if (!mayRepeat(failed) || (inUseRetryBudget && !takeRetryBudget())) {
         finish(ioRun, std::move(inEnd));
         return;
     }
     mMetrics.count("retries_total");
-    ioRun.nextAttempt = now + retryDelay(ioRun.attempts, mRandom());
+    ioRun.nextAttemptAt = now + retryDelay(ioRun.attempts, mRandom());
     ioRun.lastFailure = std::move(inEnd);
 }
 
-/// The instance that the run was sent to is gone, or messages between it and this one were lost.
-void dispatch_service::ownerLost(dispatched_run &ioRun, std::string_view inReason)
+/// Retries or resumes a run after the instance that it was sent to stopped, or after messages
+/// between it and this instance were lost.
+void dispatch_service::handleOwnerLost(dispatched_run &ioRun, std::string_view inReason)
 {
     const core::time_point now = core::boot_clock::now();
     if (ioRun.nextPart > 0) {
         ioRun.owner.clear();
-        ioRun.nextAttempt = now + cEndpointPoll;
+        ioRun.nextAttemptAt = now + cEndpointPollPeriod;
         return;
     }
-    // The endpoint is not to blame. The loss of an instance concerns only the runs that it has, so
-    // that repeating them cannot build up load.
+    // The loss does not count against the endpoint's health. A lost instance affects only the runs
+    // that it has, so that retries outside the retry budget cannot amplify load.
     mDirectory.abandoned(ioRun.request, ioRun.endpoint, now);
     run_end end = unknownEnd(core::error_kind::outcome_unknown, inReason);
     end.endpoint = std::exchange(ioRun.endpoint, {});
@@ -347,20 +353,20 @@
     repeatOrFinish(ioRun, std::move(end), false);
 }
 
-/// The stream went silent or has a gap although its owner is reachable: it is asked for again.
-void dispatch_service::streamLost(dispatched_run &ioRun, std::string_view inReason)
+/// Resumes a stream that is silent or has a gap although its owner is reachable.
+void dispatch_service::handleStreamLost(dispatched_run &ioRun, std::string_view inReason)
 {
     if (++ioRun.resumptions > cMaxResumptions) {
         cancelAtOwner(ioRun);
-        takeEnd(ioRun, unknownEnd(core::error_kind::outcome_unknown, inReason));
+        handleEnd(ioRun, unknownEnd(core::error_kind::outcome_unknown, inReason));
         return;
     }
     if (ioRun.nextPart == 0)
         cancelAtOwner(ioRun);
-    ownerLost(ioRun, inReason);
+    handleOwnerLost(ioRun, inReason);
 }
 
-void dispatch_service::leaveEndpoint(dispatched_run &ioRun, const run_end &inEnd)
+void dispatch_service::releaseEndpoint(dispatched_run &ioRun, const run_end &inEnd)
 {
     const core::time_point now = core::boot_clock::now();
     if (ioRun.endpoint.empty())
@@ -411,22 +417,23 @@
             lost.push_back(id);
     }
     for (const std::string &id : lost)
-        ownerLost(*mRuns.at(id), "the instance that ran the request stopped");
+        handleOwnerLost(*mRuns.at(id), "the instance that ran the request stopped");
 }
 
-void dispatch_service::applyLost(const peer_lost &inLost)
+void dispatch_service::handlePeerLost(const peer_lost &inLost)
 {
     mDirectory.setConnected(inLost.instance, false);
     std::vector<std::string> affected;
     for (const auto &[id, running] : mRuns) {
-        // Whether the owner got a run that must not be repeated is not known; its events may
-        // still arrive on the next connection.
+        // A run without parts that must not be repeated keeps waiting: the owner may have received
+        // it, and its events may still arrive on the next connection.
         if (running->owner == inLost.instance
             && (running->nextPart > 0 || running->request.repeatable))
             affected.push_back(id);
     }
     for (const std::string &id : affected)
-        ownerLost(*mRuns.at(id), "the connection to the instance that ran the request was lost");
+        handleOwnerLost(*mRuns.at(id),
+                        "the connection to the instance that ran the request was lost");
 }
 
 void dispatch_service::sweep()
@@ -435,9 +442,9 @@
     std::vector<std::string> due;
     for (const auto &[id, running] : mRuns) {
         const bool silent = running->request.stream && !running->owner.empty()
-            && running->nextPart > 0 && now - running->lastEvent > running->request.streamIdle;
+            && running->nextPart > 0 && now - running->lastEventAt > running->request.streamIdle;
         if (now >= running->request.deadline || silent
-            || (running->nextAttempt && now >= *running->nextAttempt))
+            || (running->nextAttemptAt && now >= *running->nextAttemptAt))
             due.push_back(id);
     }
     for (const std::string &id : due)
@@ -455,17 +462,17 @@
             || (ioRun.lastFailure && ioRun.lastFailure->outcome == run_outcome::unknown);
         cancelAtOwner(ioRun);
         if (ioRun.call)
-            mServices.cancel(*ioRun.call);
+            mServiceClient.cancel(*ioRun.call);
         run_end end = sent
             ? unknownEnd(core::error_kind::timeout, "the request was not answered in time")
-            : notRunEnd(core::error_kind::timeout, "no endpoint took the request in time");
+            : notRunEnd(core::error_kind::timeout, "no endpoint accepted the request in time");
         end.endpoint = ioRun.endpoint;
-        leaveEndpoint(ioRun, end);
+        releaseEndpoint(ioRun, end);
         finish(ioRun, std::move(end));
-    } else if (ioRun.nextAttempt) {
+    } else if (ioRun.nextAttemptAt) {
         attempt(ioRun);
     } else {
-        streamLost(ioRun, "the stream went silent");
+        handleStreamLost(ioRun, "the stream was silent for too long");
     }
 }
 
--- a/corneltally/entry/dispatch_service.h
+++ b/corneltally/entry/dispatch_service.h
@@ -26,7 +26,7 @@
 namespace corneltally::entry {
 
 /// Runs the requests of this instance's callers: chooses an endpoint, sends the run to its owner or
-/// to the application service, passes the answer on, and decides what follows a failure.
+/// to the application service, forwards the answer, and retries or resumes after failures.
 class dispatch_service : public kernel::service
 {
 public:
@@ -51,23 +51,23 @@
     void submit(dispatched_run &ioRun, const std::string &inOwner, core::time_point inNow);
     void waitForEndpoint(dispatched_run &ioRun, core::time_point inNow);
 
-    void takeEvent(const run_event &inEvent, const std::string &inFrom);
-    void takeChunk(dispatched_run &ioRun, const run_chunk &inChunk);
-    void takeServiceAnswer(const std::string &inRequestId,
-                           const endpoint::service_answer &inAnswer);
-    void takeEnd(dispatched_run &ioRun, run_end inEnd);
-    void attemptFailed(dispatched_run &ioRun, run_end inEnd);
-    void repeatOrFinish(dispatched_run &ioRun, run_end inEnd, bool inBudgeted);
-    void ownerLost(dispatched_run &ioRun, std::string_view inReason);
-    void streamLost(dispatched_run &ioRun, std::string_view inReason);
+    void handleEvent(const run_event &inEvent, const std::string &inFrom);
+    void handleChunk(dispatched_run &ioRun, const run_chunk &inChunk);
+    void handleServiceAnswer(const std::string &inRequestId,
+                             const endpoint::service_answer &inAnswer);
+    void handleEnd(dispatched_run &ioRun, run_end inEnd);
+    void handleFailedAttempt(dispatched_run &ioRun, run_end inEnd);
+    void repeatOrFinish(dispatched_run &ioRun, run_end inEnd, bool inUseRetryBudget);
+    void handleOwnerLost(dispatched_run &ioRun, std::string_view inReason);
+    void handleStreamLost(dispatched_run &ioRun, std::string_view inReason);
 
-    void leaveEndpoint(dispatched_run &ioRun, const run_end &inEnd);
+    void releaseEndpoint(dispatched_run &ioRun, const run_end &inEnd);
     void cancelAtOwner(const dispatched_run &inRun);
     void finish(dispatched_run &ioRun, run_end inEnd);
     void forward(const dispatched_run &inRun, run_event inEvent);
 
     void applyPeers(const peers_changed &inChange);
-    void applyLost(const peer_lost &inLost);
+    void handlePeerLost(const peer_lost &inLost);
     void sweep();
     void sweepRun(dispatched_run &ioRun, core::time_point inNow);
     bool takeRetryBudget();
@@ -76,7 +76,7 @@
     core::metrics &mMetrics;
     std::string mInstance;
     endpoint_directory mDirectory;
-    endpoint::service_client mServices;
+    endpoint::service_client mServiceClient;
     kernel::timer mSweep;
     run_map mRuns;
     std::mt19937_64 mRandom;
--- a/corneltally/entry/drain_service.h
+++ b/corneltally/entry/drain_service.h
@@ -14,8 +14,8 @@
 
 namespace corneltally::entry {
 
-/// Shuts the process down: announces the drain, waits until the callers' requests finished and the
-/// endpoints were handed over, and stops the event loop.
+/// Shuts the process down: announces the drain, waits until the callers' requests are finished and
+/// the endpoints are handed over, and stops the event loop.
 class drain_service : public kernel::service
 {
 public:
@@ -34,13 +34,13 @@
 
 private:
     void stopWhenDone();
-    void giveUp();
+    void handleTimeout();
 
     kernel::service_registry &mRegistry;
-    kernel::timer mLimit;
+    kernel::timer mTimeoutTimer;
     std::optional<core::time_point> mStartedAt;
-    std::optional<std::uint64_t> mFinished;
-    std::optional<std::uint64_t> mHandedOver;
+    std::optional<std::uint64_t> mFinishedRequests;
+    std::optional<std::uint64_t> mHandedOverRuns;
 };
 
 } // namespace corneltally::entry
--- a/corneltally/entry/front_end_service.cpp
+++ b/corneltally/entry/front_end_service.cpp
@@ -23,22 +23,22 @@
 using namespace std::chrono_literals;
 
 constexpr core::duration cSweepPeriod = 100ms;
-/// Longest time that a caller may take nothing of what waits for it.
+/// Longest time that the sending of an answer may make no progress.
 constexpr core::duration cWriteTimeout = 10s;
-/// How long requests wait after a pause for proof that the tree, and with it each key, is current.
-/// An instance that is cut off serves after that, as it would without the pause.
-constexpr core::duration cPauseHold = 1s;
-/// Other services answer by the deadline of a request; this is the margin for their messages.
+/// Longest time that requests wait after a pause for confirmation that the settings, and with them
+/// the keys, are current. An isolated instance serves after that, as it would without the pause.
+constexpr core::duration cMaxPauseHold = 1s;
+/// Margin for the messages of other services, which answer by the deadline of a request.
 constexpr core::duration cAnswerMargin = 2s;
-/// How long an answer to a cancelled admission or claim may still be under way.
+/// Longest wait for the answer to a cancelled admission or idempotency claim.
 constexpr core::duration cCancelMargin = 1s;
-/// Load balancers learn with a lag that an instance drains; it accepts connections meanwhile.
-constexpr core::duration cDrainLag = 1s;
-constexpr core::duration cDrainQuiet = 300ms;
+/// Load balancers notice with a delay that an instance drains; it accepts connections until then.
+constexpr core::duration cDrainNoticeDelay = 1s;
+constexpr core::duration cDrainQuietPeriod = 300ms;
 /// Tokens that an engine may generate before a cancellation reaches it.
-constexpr double cCancelOverrun = 16;
-/// The server closes connections with longer bodies without an error body, so that its limit is a
-/// multiple of the one that is answered.
+constexpr double cCancelOverrunTokens = 16;
+/// The server closes connections without an error body when a request body exceeds its limit. Its
+/// limit is therefore a multiple of the one that is answered with an error.
 constexpr std::uint64_t cServerBodyFactor = 4;
 
 http::server_limits serverLimits(http::server_limits inLimits)
@@ -54,7 +54,7 @@
             .retryAfterSeconds = inRetryAfter};
 }
 
-bool mayBeCutShort(const caller_run &inRun)
+bool mayBeAbandoned(const caller_run &inRun)
 {
     return inRun.claimKey.empty()
         && (inRun.request().kind == settings::endpoint_kind::model || inRun.request().repeatable);
@@ -68,31 +68,33 @@
     , mMetrics(inMetrics)
     , mOptions(std::move(inOptions))
     , mServer(
-          inRegistry.loop(), [this](const exchange_pointer &inCaller) { receive(inCaller); },
+          inRegistry.loop(), [this](const exchange_pointer &inCaller) { handleRequest(inCaller); },
           serverLimits(mOptions.limits))
     , mSweep(inRegistry.loop(), [this] { sweep(); })
 {
     mRegistry.handle<catalog_changed>(
         name(), [this](const catalog_changed &inChange) { applyCatalog(inChange); });
     mRegistry.handle<settings_confirmed>(name(), [this](const settings_confirmed &inConfirmed) {
-        mConfirmedAt = std::max(inConfirmed.at, mConfirmedAt.value_or(inConfirmed.at));
-        if (mHoldUntil && *mConfirmedAt >= *mHoldUntil - cPauseHold)
-            resumeHeld();
+        mSettingsConfirmedAt
+            = std::max(inConfirmed.at, mSettingsConfirmedAt.value_or(inConfirmed.at));
+        if (mHoldUntil && *mSettingsConfirmedAt >= *mHoldUntil - cMaxPauseHold)
+            serveHeldRequests();
     });
     mRegistry.handle<paused>(
-        name(), [this](const paused &) { mHoldUntil = core::boot_clock::now() + cPauseHold; });
+        name(), [this](const paused &) { mHoldUntil = core::boot_clock::now() + cMaxPauseHold; });
     mRegistry.handle<admission_result>(
-        name(), [this](const admission_result &inResult) { continueAdmitted(inResult); });
+        name(), [this](const admission_result &inResult) { handleAdmissionResult(inResult); });
     mRegistry.handle<claim_result>(
-        name(), [this](const claim_result &inResult) { continueClaimed(inResult); });
-    mRegistry.handle<run_event>(name(), [this](const run_event &inEvent) { takeEvent(inEvent); });
+        name(), [this](const claim_result &inResult) { handleClaimResult(inResult); });
+    mRegistry.handle<run_event>(name(), [this](const run_event &inEvent) { handleEvent(inEvent); });
     mRegistry.handle<drain_started>(
         name(), [this](const drain_started &) { mDrainingSince = core::boot_clock::now(); });
 }
 
 front_end_service::~front_end_service()
 {
-    // The server closes its connections last; their handlers must not look up requests any more.
+    // The server is destroyed after the runs and closes its connections then; their handlers must
+    // not look up runs any more.
     for (const auto &[id, running] : mRuns)
         running->caller()->onClosed(nullptr);
 }
@@ -113,11 +115,11 @@
         + std::to_string(++mRequestCount);
 }
 
-void front_end_service::receive(const exchange_pointer &inCaller)
+void front_end_service::handleRequest(const exchange_pointer &inCaller)
 {
     mLastRequest = core::boot_clock::now();
     if (mHoldUntil)
-        mHeld.push_back(inCaller);
+        mHeldRequests.push_back(inCaller);
     else
         serve(inCaller);
 }
@@ -127,11 +129,12 @@
     if (inCaller->isClosed())
         return;
     if (!mCatalog || mDrainReported) {
-        refuse(inCaller,
-               notRun(core::error_kind::unavailable,
-                      mCatalog ? "the instance shuts down" : "the settings are not loaded yet",
-                      "send the request to another instance"),
-               {});
+        refuse(
+            inCaller,
+            notRun(core::error_kind::unavailable,
+                   mCatalog ? "the instance is shutting down" : "the settings are not loaded yet",
+                   "send the request to another instance"),
+            {});
         return;
     }
     if (inCaller->path() == "/v1/models") {
@@ -166,7 +169,7 @@
     }
     run accepted = std::move(request).value();
     accepted.account = identity->account;
-    begin(inCaller, *route, std::move(accepted), identity->keyDigest);
+    beginRequest(inCaller, *route, std::move(accepted), identity->keyDigest);
 }
 
 std::optional<caller_error> front_end_service::checkSettingsAge(std::string_view inAccount) const
@@ -175,7 +178,7 @@
     if (account == nullptr || account->maxSettingsAgeSeconds <= 0)
         return std::nullopt;
     const auto limit = std::chrono::seconds(account->maxSettingsAgeSeconds);
-    if (mConfirmedAt && core::boot_clock::now() - *mConfirmedAt <= limit)
+    if (mSettingsConfirmedAt && core::boot_clock::now() - *mSettingsConfirmedAt <= limit)
         return std::nullopt;
     return notRun(core::error_kind::unavailable,
                   "the instance cannot confirm that its settings are current",
@@ -192,7 +195,7 @@
         return;
     }
     inCaller->replyJson(200, modelListBody(*mCatalog), {{"X-Request-Id", nextRequestId()}});
-    watchWrites(inCaller);
+    trackUnsentAnswer(inCaller);
 }
 
 void front_end_service::refuse(const exchange_pointer &inCaller, const caller_error &inError,
@@ -217,8 +220,9 @@
                        .append("\"}"));
 }
 
-void front_end_service::begin(const exchange_pointer &inCaller, const settings::route_view &inRoute,
-                              run inRun, std::string inKeyDigest)
+void front_end_service::beginRequest(const exchange_pointer &inCaller,
+                                     const settings::route_view &inRoute, run inRun,
+                                     std::string inKeyDigest)
 {
     const core::time_point now = core::boot_clock::now();
     inRun.requestId = nextRequestId();
@@ -226,35 +230,37 @@
     auto added = std::make_unique<caller_run>(inCaller, std::move(inRun), now);
     added->keyDigest = std::move(inKeyDigest);
     added->closeAfterAnswer = mDrainingSince.has_value();
-    if (const std::optional<core::error> unusable = readClaim(*added, inRoute)) {
+    if (const std::optional<core::error> unusable = readIdempotencyHeaders(*added, inRoute)) {
         refuse(inCaller, {.error = *unusable}, added->request().account);
         return;
     }
     caller_run &running = *added;
     const std::string &id = running.request().requestId;
-    inCaller->onClosed([this, id] { callerLeft(id); });
+    inCaller->onClosed([this, id] { handleDisconnect(id); });
     mRuns.emplace(id, std::move(added));
     if (running.request().account.empty()) {
         claimOrStart(running);
         return;
     }
-    running.charged = running.request().promptTokens + running.request().maxTokens;
-    mRegistry.post(
-        "admission",
-        admit{id, running.request().account, running.charged, running.request().deadline});
+    running.chargedTokens = running.request().promptTokens + running.request().maxTokens;
+    mRegistry.post("admission",
+                   admission_request{id, running.request().account, running.chargedTokens,
+                                     running.request().deadline});
 }
 
-/// Reads the idempotency headers. Repeatable routes need no claim, unless they ask for a key.
-std::optional<core::error> front_end_service::readClaim(caller_run &ioRun,
-                                                        const settings::route_view &inRoute)
+/// Reads the idempotency headers. Repeatable routes need no idempotency claim unless they require a
+/// key.
+std::optional<core::error>
+front_end_service::readIdempotencyHeaders(caller_run &ioRun, const settings::route_view &inRoute)
 {
     const http::exchange &caller = *ioRun.caller();
     const std::string_view key = caller.header("Idempotency-Key");
     if (key.empty()) {
         if (!inRoute.requireIdempotencyKey)
             return std::nullopt;
-        return core::error{core::error_kind::invalid_request, "the route needs an idempotency key",
-                           "send the header Idempotency-Key with a value unique to the order"};
+        return core::error{core::error_kind::invalid_request,
+                           "the route requires an idempotency key",
+                           "send the header Idempotency-Key with a unique value for each order"};
     }
     if (inRoute.repeatable && !inRoute.requireIdempotencyKey)
         return std::nullopt;
@@ -265,7 +271,7 @@
         if (code != std::errc() || end != first.data() + first.size())
             return core::error{core::error_kind::invalid_request,
                                "Idempotency-Time is not a number of seconds",
-                               "send the Unix time of the first try"};
+                               "send the Unix time of the first attempt"};
         if (std::time(nullptr) - seconds > mCatalog->claimWindow().count())
             return core::error{core::error_kind::conflict,
                                "the idempotency key is older than the claim window",
@@ -275,17 +281,17 @@
     return std::nullopt;
 }
 
-void front_end_service::continueAdmitted(const admission_result &inResult)
+void front_end_service::handleAdmissionResult(const admission_result &inResult)
 {
     const auto found = mRuns.find(inResult.requestId);
     if (found == mRuns.end() || found->second->currentPhase != caller_run::phase::admitting)
         return;
     caller_run &running = *found->second;
     if (inResult.error) {
-        running.charged = 0;
+        running.chargedTokens = 0;
         failRun(running,
                 {.error = *inResult.error, .retryAfterSeconds = inResult.retryAfterSeconds});
-    } else if (running.leftAt) {
+    } else if (running.disconnectedAt) {
         settleTokens(running, 0);
         complete(running, "caller_left", {});
     } else {
@@ -309,7 +315,7 @@
                                ioRun.request().deadline});
 }
 
-void front_end_service::continueClaimed(const claim_result &inResult)
+void front_end_service::handleClaimResult(const claim_result &inResult)
 {
     const auto found = mRuns.find(inResult.requestId);
     if (found == mRuns.end() || found->second->currentPhase != caller_run::phase::claiming) {
@@ -319,7 +325,7 @@
     running.claimId = inResult.claimId;
     switch (inResult.outcome) {
     case claim_outcome::granted:
-        if (running.leftAt) {
+        if (running.disconnectedAt) {
             mRegistry.post("claims", claim_release{running.claimKey, running.claimId});
             settleTokens(running, 0);
             complete(running, "caller_left", {});
@@ -330,7 +336,7 @@
     case claim_outcome::answered:
         settleTokens(running, 0);
         running.replay(inResult.status, inResult.contentType, inResult.body);
-        watchWrites(running.caller());
+        trackUnsentAnswer(running.caller());
         complete(running, "replayed", {});
         break;
     case claim_outcome::conflict:
@@ -351,19 +357,19 @@
     mRegistry.post("dispatch", run_start{ioRun.request()});
 }
 
-void front_end_service::takeEvent(const run_event &inEvent)
+void front_end_service::handleEvent(const run_event &inEvent)
 {
     const auto found = mRuns.find(inEvent.requestId);
     if (found == mRuns.end())
         return;
     caller_run &running = *found->second;
     if (const auto *head = std::get_if<run_head>(&inEvent.event)) {
-        running.takeHead(*head);
+        running.setHead(*head);
     } else if (const auto *end = std::get_if<run_end>(&inEvent.event)) {
-        takeEnd(running, *end);
+        handleEnd(running, *end);
     } else {
         const bool first = running.partCount() == 0;
-        if (!running.takeChunk(std::get<run_chunk>(inEvent.event))) {
+        if (!running.addChunk(std::get<run_chunk>(inEvent.event))) {
             stopRun(running,
                     {.error = {core::error_kind::internal, "the answer is too long",
                                "ask for a shorter answer, or for a stream"},
@@ -373,23 +379,23 @@
         if (first) {
             mMetrics.observe("first_part_seconds", core::boot_clock::now() - running.startedAt());
             if (running.request().stream)
-                watchWrites(running.caller());
+                trackUnsentAnswer(running.caller());
         }
-        // An aborted exchange does not report its end by itself.
+        // An aborted exchange does not call its close handler.
         if (running.pendingBytes() > mOptions.maxUnsentBytes) {
             mMetrics.count("callers_closed_total{reason=\"unread\"}");
-            running.dropCaller();
-            callerLeft(inEvent.requestId);
+            running.abortConnection();
+            handleDisconnect(inEvent.requestId);
         }
     }
 }
 
-void front_end_service::takeEnd(caller_run &ioRun, const run_end &inEnd)
+void front_end_service::handleEnd(caller_run &ioRun, const run_end &inEnd)
 {
     if (inEnd.outcome == run_outcome::completed) {
         settleTokens(ioRun, ioRun.request().promptTokens + inEnd.outputTokens);
         if (!ioRun.claimId.empty()) {
-            // Status 0 says that the request completed and its answer is too long to be kept.
+            // Status 0 means that the request completed, but its answer is too long to be kept.
             mRegistry.post("claims",
                            ioRun.isAnswerKept()
                                ? claim_finish{ioRun.claimKey, ioRun.claimId, ioRun.status(),
@@ -397,14 +403,14 @@
                                : claim_finish{ioRun.claimKey, ioRun.claimId, 0, {}, {}});
         }
         ioRun.finish();
-        watchWrites(ioRun.caller());
+        trackUnsentAnswer(ioRun.caller());
         complete(ioRun, "completed", inEnd.endpoint);
         return;
     }
     const bool mayHaveRun = inEnd.outcome == run_outcome::unknown;
     if (!mayHaveRun && !ioRun.claimId.empty())
         mRegistry.post("claims", claim_release{ioRun.claimKey, ioRun.claimId});
-    settleTokens(ioRun, mayHaveRun ? ioRun.charged : 0);
+    settleTokens(ioRun, mayHaveRun ? ioRun.chargedTokens : 0);
     failRun(ioRun,
             {.error = inEnd.error,
              .mayHaveRun = mayHaveRun,
@@ -412,29 +418,29 @@
             inEnd.endpoint);
 }
 
-void front_end_service::callerLeft(const std::string &inRequestId)
+void front_end_service::handleDisconnect(const std::string &inRequestId)
 {
     const auto found = mRuns.find(inRequestId);
-    if (found == mRuns.end() || found->second->leftAt)
+    if (found == mRuns.end() || found->second->disconnectedAt)
         return;
     caller_run &running = *found->second;
-    running.leftAt = core::boot_clock::now();
+    running.disconnectedAt = core::boot_clock::now();
     switch (running.currentPhase) {
     case caller_run::phase::admitting:
-        mRegistry.post("admission", admit_cancel{inRequestId});
+        mRegistry.post("admission", admission_cancel{inRequestId});
         break;
     case caller_run::phase::claiming:
         mRegistry.post("claims", claim_cancel{inRequestId});
         break;
     case caller_run::phase::running:
-        // An order that was sent is followed to its end, so that a repeat gets its answer.
-        if (!mayBeCutShort(running))
+        // An order that was sent runs to its end, so that a repeat of it gets the answer.
+        if (!mayBeAbandoned(running))
             break;
         mRegistry.post("dispatch", run_abandon{inRequestId});
         settleTokens(running,
                      running.request().stream ? running.request().promptTokens
-                             + static_cast<double>(running.partCount()) + cCancelOverrun
-                                              : running.charged);
+                             + static_cast<double>(running.partCount()) + cCancelOverrunTokens
+                                              : running.chargedTokens);
         complete(running, "caller_left", {});
         break;
     }
@@ -444,19 +450,19 @@
                                 std::string_view inEndpoint)
 {
     ioRun.fail(inError);
-    watchWrites(ioRun.caller());
+    trackUnsentAnswer(ioRun.caller());
     complete(ioRun, inError.mayHaveRun ? "unknown" : "not_run", inEndpoint);
 }
 
-/// Ends a request before its run ended by itself.
+/// Ends a request before its run has ended.
 void front_end_service::stopRun(caller_run &ioRun, const caller_error &inError)
 {
     const std::string &id = ioRun.request().requestId;
     caller_error error = inError;
     switch (ioRun.currentPhase) {
     case caller_run::phase::admitting:
-        mRegistry.post("admission", admit_cancel{id});
-        ioRun.charged = 0;
+        mRegistry.post("admission", admission_cancel{id});
+        ioRun.chargedTokens = 0;
         break;
     case caller_run::phase::claiming:
         mRegistry.post("claims", claim_cancel{id});
@@ -464,7 +470,7 @@
         break;
     case caller_run::phase::running:
         mRegistry.post("dispatch", run_abandon{id});
-        settleTokens(ioRun, ioRun.charged);
+        settleTokens(ioRun, ioRun.chargedTokens);
         error.mayHaveRun = true;
         break;
     }
@@ -473,12 +479,12 @@
 
 void front_end_service::settleTokens(caller_run &ioRun, double inUsed)
 {
-    if (ioRun.charged <= 0)
+    if (ioRun.chargedTokens <= 0)
         return;
     mRegistry.post("admission",
-                   settle{ioRun.request().account, ioRun.charged, std::min(inUsed, ioRun.charged),
-                          ioRun.request().requestId});
-    ioRun.charged = 0;
+                   charge_settle{ioRun.request().account, ioRun.chargedTokens,
+                                 std::min(inUsed, ioRun.chargedTokens), ioRun.request().requestId});
+    ioRun.chargedTokens = 0;
 }
 
 void front_end_service::complete(caller_run &ioRun, std::string_view inOutcome,
@@ -505,13 +511,13 @@
     mRuns.erase(mRuns.find(request.requestId));
 }
 
-void front_end_service::watchWrites(const exchange_pointer &inCaller)
+void front_end_service::trackUnsentAnswer(const exchange_pointer &inCaller)
 {
     if (inCaller->isClosed() || inCaller->pendingBytes() == 0)
         return;
-    if (std::ranges::find(mWrites, inCaller, &write_watch::caller) != mWrites.end())
+    if (std::ranges::find(mUnsentAnswers, inCaller, &unsent_answer::caller) != mUnsentAnswers.end())
         return;
-    mWrites.push_back({inCaller, inCaller->pendingBytes(), core::boot_clock::now()});
+    mUnsentAnswers.push_back({inCaller, inCaller->pendingBytes(), core::boot_clock::now()});
 }
 
 void front_end_service::applyCatalog(const catalog_changed &inChange)
@@ -524,16 +530,16 @@
         if (running->keyDigest.empty())
             continue;
         const settings::key_view *key = mCatalog->findKey(running->keyDigest);
-        // A call to an application service that was sent is answered: its result is an order's.
-        const bool endable = running->currentPhase != caller_run::phase::running
+        // A call that was sent to an application service may have carried out an order, so that its
+        // caller gets the result.
+        const bool mayBeStopped = running->currentPhase != caller_run::phase::running
             || running->request().kind == settings::endpoint_kind::model;
-        if ((key == nullptr || key->withdrawn) && endable)
+        if ((key == nullptr || key->withdrawn) && mayBeStopped)
             withdrawn.push_back(id);
     }
     for (const std::string &id : withdrawn) {
         stopRun(*mRuns.at(id),
-                notRun(core::error_kind::unauthorized, "the key was withdrawn",
-                       "use a key that is in force"));
+                notRun(core::error_kind::unauthorized, "the key was withdrawn", "use a valid key"));
     }
 }
 
@@ -541,10 +547,11 @@
 {
     const core::time_point now = core::boot_clock::now();
     if (mHoldUntil && now >= *mHoldUntil)
-        resumeHeld();
+        serveHeldRequests();
     std::vector<std::string> overdue;
     for (const auto &[id, running] : mRuns) {
-        const bool cancelled = running->leftAt && now - *running->leftAt > cCancelMargin
+        const bool cancelled = running->disconnectedAt
+            && now - *running->disconnectedAt > cCancelMargin
             && running->currentPhase != caller_run::phase::running;
         if (cancelled || now > running->request().deadline + cAnswerMargin)
             overdue.push_back(id);
@@ -561,16 +568,16 @@
 void front_end_service::closeStalledCallers(core::time_point inNow)
 {
     std::vector<exchange_pointer> stalled;
-    std::erase_if(mWrites, [&](write_watch &ioWatch) {
-        const std::size_t pending = ioWatch.caller->pendingBytes();
-        if (pending == 0 && ioWatch.caller->isAnswered())
+    std::erase_if(mUnsentAnswers, [&](unsent_answer &ioAnswer) {
+        const std::size_t pending = ioAnswer.caller->pendingBytes();
+        if (pending == 0 && ioAnswer.caller->isAnswered())
             return true;
-        if (pending == 0 || pending < ioWatch.pending)
-            ioWatch.lastProgress = inNow;
-        ioWatch.pending = pending;
-        if (inNow - ioWatch.lastProgress < cWriteTimeout)
-            return ioWatch.caller->isClosed();
-        stalled.push_back(ioWatch.caller);
+        if (pending == 0 || pending < ioAnswer.pending)
+            ioAnswer.lastProgress = inNow;
+        ioAnswer.pending = pending;
+        if (inNow - ioAnswer.lastProgress < cWriteTimeout)
+            return ioAnswer.caller->isClosed();
+        stalled.push_back(ioAnswer.caller);
         return true;
     });
     for (const exchange_pointer &caller : stalled) {
@@ -579,14 +586,14 @@
         const auto running = std::ranges::find_if(
             mRuns, [&](const auto &inEntry) { return inEntry.second->caller() == caller; });
         if (running != mRuns.end())
-            callerLeft(std::string(running->first));
+            handleDisconnect(std::string(running->first));
     }
 }
 
-void front_end_service::resumeHeld()
+void front_end_service::serveHeldRequests()
 {
     mHoldUntil.reset();
-    const std::vector<exchange_pointer> held = std::exchange(mHeld, {});
+    const std::vector<exchange_pointer> held = std::exchange(mHeldRequests, {});
     for (const exchange_pointer &caller : held)
         serve(caller);
 }
@@ -594,12 +601,13 @@
 void front_end_service::checkDrained()
 {
     const core::time_point now = core::boot_clock::now();
-    if (!mDrainingSince || mDrainReported || now - *mDrainingSince < cDrainLag)
+    if (!mDrainingSince || mDrainReported || now - *mDrainingSince < cDrainNoticeDelay)
         return;
     mServer.stopListening();
-    if (!mRuns.empty() || !mHeld.empty() || !mWrites.empty() || now - mLastRequest < cDrainQuiet)
+    if (!mRuns.empty() || !mHeldRequests.empty() || !mUnsentAnswers.empty()
+        || now - mLastRequest < cDrainQuietPeriod)
         return;
-    // From here on, requests on open connections are refused, so that none is cut off by the exit.
+    // From now on requests on open connections are refused, so that the exit interrupts none.
     mDrainReported = true;
     mRegistry.post("drain", callers_drained{mFinishedInDrain});
 }
--- a/corneltally/entry/front_end_service.h
+++ b/corneltally/entry/front_end_service.h
@@ -31,22 +31,24 @@
 
 namespace corneltally::entry {
 
-/// What the front end takes from the process settings.
+/// Process settings of the front end.
 struct front_end_options
 {
     std::string instance;
     std::uint64_t incarnation = 0;
     http::address listen;
-    /// Limits of the listener; the body limit also applies to the typed refusal of long bodies.
+    /// Limits of the listener. Bodies over the body limit are refused with a typed error. Only
+    /// above a multiple of it the connection is closed instead.
     http::server_limits limits;
     /// Bytes of an answer that a caller may leave unread before its connection is closed.
     std::size_t maxUnsentBytes = 1024 * 1024;
-    /// Keeps the first catalog, so that withdrawals do not take effect; only for tests.
+    /// Ignores all changes of the settings after the first catalog, so that withdrawals of keys do
+    /// not take effect; only for tests.
     bool keepFirstCatalog = false;
 };
 
-/// Serves the callers: checks keys and requests, has them admitted and claimed, starts runs and
-/// writes the answers.
+/// Serves the callers: checks keys and requests, requests admission and idempotency claims, starts
+/// runs and writes the answers.
 class front_end_service : public kernel::service
 {
 public:
@@ -65,43 +67,44 @@
 private:
     using exchange_pointer = std::shared_ptr<http::exchange>;
 
-    /// What is watched of an answer that the caller has not fully taken.
-    struct write_watch
+    /// An answer that was not sent completely yet, and when it last made progress.
+    struct unsent_answer
     {
         exchange_pointer caller;
         std::size_t pending = 0;
         core::time_point lastProgress;
     };
 
-    void receive(const exchange_pointer &inCaller);
+    void handleRequest(const exchange_pointer &inCaller);
     void serve(const exchange_pointer &inCaller);
     void listModels(const exchange_pointer &inCaller);
     void refuse(const exchange_pointer &inCaller, const caller_error &inError,
                 std::string_view inAccount);
     std::optional<caller_error> checkSettingsAge(std::string_view inAccount) const;
-    void begin(const exchange_pointer &inCaller, const settings::route_view &inRoute, run inRun,
-               std::string inKeyDigest);
-    std::optional<core::error> readClaim(caller_run &ioRun, const settings::route_view &inRoute);
+    void beginRequest(const exchange_pointer &inCaller, const settings::route_view &inRoute,
+                      run inRun, std::string inKeyDigest);
+    std::optional<core::error> readIdempotencyHeaders(caller_run &ioRun,
+                                                      const settings::route_view &inRoute);
 
-    void continueAdmitted(const admission_result &inResult);
+    void handleAdmissionResult(const admission_result &inResult);
     void claimOrStart(caller_run &ioRun);
-    void continueClaimed(const claim_result &inResult);
+    void handleClaimResult(const claim_result &inResult);
     void startRun(caller_run &ioRun);
-    void takeEvent(const run_event &inEvent);
-    void takeEnd(caller_run &ioRun, const run_end &inEnd);
-    void callerLeft(const std::string &inRequestId);
+    void handleEvent(const run_event &inEvent);
+    void handleEnd(caller_run &ioRun, const run_end &inEnd);
+    void handleDisconnect(const std::string &inRequestId);
     void failRun(caller_run &ioRun, const caller_error &inError, std::string_view inEndpoint = {});
     void stopRun(caller_run &ioRun, const caller_error &inError);
 
     void settleTokens(caller_run &ioRun, double inUsed);
-    /// Logs and counts the request and forgets it.
+    /// Logs and counts the request and removes it.
     void complete(caller_run &ioRun, std::string_view inOutcome, std::string_view inEndpoint);
-    void watchWrites(const exchange_pointer &inCaller);
+    void trackUnsentAnswer(const exchange_pointer &inCaller);
 
     void applyCatalog(const catalog_changed &inChange);
     void sweep();
     void closeStalledCallers(core::time_point inNow);
-    void resumeHeld();
+    void serveHeldRequests();
     void checkDrained();
     std::string nextRequestId();
 
@@ -112,11 +115,11 @@
     kernel::timer mSweep;
     std::shared_ptr<const settings::catalog> mCatalog;
     std::unordered_map<std::string, std::unique_ptr<caller_run>> mRuns;
-    std::vector<write_watch> mWrites;
-    /// Requests that arrived after a pause, until the tree is known to be current.
-    std::vector<exchange_pointer> mHeld;
+    std::vector<unsent_answer> mUnsentAnswers;
+    /// Requests that arrived after a pause and wait until the settings are confirmed to be current.
+    std::vector<exchange_pointer> mHeldRequests;
     std::optional<core::time_point> mHoldUntil;
-    std::optional<core::time_point> mConfirmedAt;
+    std::optional<core::time_point> mSettingsConfirmedAt;
     std::optional<core::time_point> mDrainingSince;
     core::time_point mLastRequest;
     bool mDrainReported = false;
--- a/tests/unit/entry_admission_service_test.cpp
+++ b/tests/unit/entry_admission_service_test.cpp
@@ -1,5 +1,5 @@
-// Guards against requests that get no answer from admission, against a share that is spent in the
-// first seconds of a process, and against loans or weight store limits that do not work between
+// Guards against requests that get no answer from admission, against a new process that spends a
+// share before it is in force, and against loans or weight store limits that fail between
 // instances.
 
 #include "corneltally/entry/admission_service.h"
@@ -36,7 +36,7 @@
 burst_tokens = 500
 )" + cInstances;
 
-/// An instance with the service and what it answered.
+/// An instance with the admission service, and the answers that it sent.
 struct instance
 {
     kernel::service_registry registry;
@@ -82,8 +82,9 @@
     }
     void admit(const std::string &inId, double inTokens)
     {
-        registry.post("admission",
-                      entry::admit{inId, "harbour", inTokens, core::boot_clock::now() + 20s});
+        registry.post(
+            "admission",
+            entry::admission_request{inId, "harbour", inTokens, core::boot_clock::now() + 20s});
     }
     bool has(const std::string &inId) const { return results.contains(inId); }
     bool isAdmitted(const std::string &inId) { return has(inId) && !results[inId].error; }
@@ -146,7 +147,7 @@
     CHECK(instances.one.isAdmitted("r2"));
 }
 
-TEST_CASE("a request above the share of the instance is served by a loan")
+TEST_CASE("a request above the share of the instance is admitted with a loan")
 {
     fleet instances;
     REQUIRE(instances.untilFull());
@@ -167,19 +168,19 @@
     REQUIRE(instances.untilFull());
     instances.one.registry.broadcast(entry::peers_changed{});
     instances.one.admit("r1", 4000);
-    instances.one.registry.post("admission", entry::settle{"harbour", 4000, 0, "r1"});
+    instances.one.registry.post("admission", entry::charge_settle{"harbour", 4000, 0, "r1"});
     instances.one.admit("r2", 3900);
     REQUIRE(instances.until([&] { return instances.one.has("r2"); }));
     CHECK(instances.one.isAdmitted("r2"));
 }
 
-TEST_CASE("requests that are cancelled, too large or of unknown accounts are answered")
+TEST_CASE("requests that are cancelled, too large or from unknown accounts are answered")
 {
     fleet instances;
     instances.one.admit("cancelled", 100);
-    instances.one.registry.post("admission", entry::admit_cancel{"cancelled"});
+    instances.one.registry.post("admission", entry::admission_cancel{"cancelled"});
     instances.one.admit("large", 8001);
-    instances.one.registry.post("admission", entry::admit{"unknown", "nobody", 1, {}});
+    instances.one.registry.post("admission", entry::admission_request{"unknown", "nobody", 1, {}});
     instances.one.admit("removed", 100);
     REQUIRE(instances.until([&] { return instances.one.results.size() >= 3; }));
     instances.one.setTree(cTreeWithoutAccount);
@@ -201,14 +202,14 @@
     CHECK_FALSE(instances.one.isAdmitted("r1"));
 }
 
-TEST_CASE("weight store loads keep to the rate and to the loads in flight")
+TEST_CASE("weight store loads respect the limits of rate and loads in flight")
 {
     fleet instances;
     REQUIRE(instances.untilFull());
     const auto ask = [&](const std::string &inAdapter) {
-        instances.one.registry.post("admission", entry::weight_load_admit{"e1", inAdapter, "1"});
+        instances.one.registry.post("admission", entry::weight_load_request{"e1", inAdapter, "1"});
     };
-    // Three loads a second and a burst of two over the fleet, eight in flight.
+    // The fleet-wide limits are three loads per second, a burst of two and eight loads in flight.
     ask("a1");
     ask("a2");
     ask("a3");
