--- a/corneltally/entry/owned_endpoint.h
+++ b/corneltally/entry/owned_endpoint.h
@@ -35,10 +35,10 @@
                    core::duration inPatientMaxWait, std::uint64_t inFenceSlot);
 
     /// Whether this instance should own the endpoint, by the rule of ownership::chooseOwner().
-    void setWanted(bool inWanted);
+    void setAssigned(bool inAssigned);
 
     /// Another instance published a fencing number of the endpoint.
-    void noteFence(std::uint64_t inFence) { mHighestKnown = std::max(mHighestKnown, inFence); }
+    void observeFence(std::uint64_t inFence) { mHighestFence = std::max(mHighestFence, inFence); }
 
     /// Takes no new runs. Returns the number of waiting runs that were given back.
     std::size_t startDrain();
@@ -57,13 +57,13 @@
 
     /// For the dispatching instances; nothing if this instance is not the owner.
     std::optional<endpoint_status> status() const;
-    bool isWanted() const { return mWanted && !mDraining; }
+    bool isAssigned() const { return mAssigned && !mDraining; }
     bool hasRuns() const { return !mRuns.empty(); }
     bool isOwning() const { return mTakeover.isOwning(); }
     const settings::endpoint_view &view() const { return mView; }
     /// The lease of an endpoint that does not check fencing numbers.
     ownership::lease &lease() { return mLease; }
-    bool wantsLease() const { return mWanted && !mDraining && !mView.checksFencing; }
+    bool needsLease() const { return mAssigned && !mDraining && !mView.checksFencing; }
     std::string dump() const;
 
 private:
@@ -133,7 +133,7 @@
     owned_endpoint_options mOptions;
     owned_endpoint_hooks mHooks;
     std::uint64_t mFenceSlot = 0;
-    bool mWanted = false;
+    bool mAssigned = false;
     bool mDraining = false;
 
     ownership::takeover mTakeover;
@@ -146,7 +146,7 @@
     core::duration mAcquireDelay{};
     /// Wait after another instance took over; doubled if the two do so in turn.
     core::duration mLossDelay{};
-    std::uint64_t mHighestKnown = 0;
+    std::uint64_t mHighestFence = 0;
     bool mNeedsNewFence = false;
     core::time_point mAcquiredAt;
 
--- a/corneltally/entry/owned_endpoint_impl.h
+++ b/corneltally/entry/owned_endpoint_impl.h
@@ -45,11 +45,11 @@
 }
 
 template <endpoint::engine_protocol Engine>
-void owned_endpoint<Engine>::setWanted(bool inWanted)
+void owned_endpoint<Engine>::setAssigned(bool inAssigned)
 {
-    if (std::exchange(mWanted, inWanted) == inWanted)
+    if (std::exchange(mAssigned, inAssigned) == inAssigned)
         return;
-    if (inWanted) {
+    if (inAssigned) {
         // A lost owner's queue is empty; a releasing one acquires a new number.
         if (mTakeover.current() == ownership::takeover::phase::releasing)
             mTakeover.lost();
@@ -90,7 +90,7 @@
 {
     using phase = ownership::takeover::phase;
     const core::time_point now = mHooks.now();
-    if (mWanted && !mDraining && now >= mNextAcquire
+    if (mAssigned && !mDraining && now >= mNextAcquire
         && (mTakeover.current() == phase::not_owner || (isOwning() && mNeedsNewFence)))
         acquire();
     if (mTakeover.current() == phase::releasing && mRuns.empty())
@@ -146,7 +146,7 @@
 {
     // An endpoint that restarted may have forgotten numbers that this or other instances used.
     const std::uint64_t fence
-        = ownership::nextFence(std::max({inHighest, mTakeover.fence(), mHighestKnown}), mFenceSlot);
+        = ownership::nextFence(std::max({inHighest, mTakeover.fence(), mHighestFence}), mFenceSlot);
     mEngine.registerFence(fence,
                           [this, fence, inAttempt](const endpoint::engine_fence_result &inResult) {
                               if (inAttempt != mAttempt)
@@ -332,7 +332,7 @@
 {
     std::string text = "{\"endpoint\":\"" + core::jsonEscape(mView.name) + "\",\"phase\":\"";
     text.append(ownership::toString(mTakeover.current()));
-    text.append("\",\"wanted\":").append(mWanted ? "true" : "false");
+    text.append("\",\"wanted\":").append(mAssigned ? "true" : "false");
     text.append(",\"fence\":").append(std::to_string(mTakeover.fence()));
     text.append(",\"lease_offset\":").append(std::to_string(mLease.offset()));
     text.append(",\"lease_held\":").append(mLease.isHeld(mHooks.now()) ? "true" : "false");
--- a/corneltally/entry/owner_service.cpp
+++ b/corneltally/entry/owner_service.cpp
@@ -32,8 +32,8 @@
           mLog, [] { return core::boot_clock::now(); },
           [this](const std::string &inEndpoint) -> ownership::lease * {
               const auto found = mOwned.find(inEndpoint);
-              const bool wanted = found != mOwned.end() && found->second.state->wantsLease();
-              return wanted ? &found->second.state->lease() : nullptr;
+              const bool needed = found != mOwned.end() && found->second.state->needsLease();
+              return needed ? &found->second.state->lease() : nullptr;
           })
     , mTick(inRegistry.loop(), [this] { tick(); })
 {
@@ -65,7 +65,7 @@
         [this](const peer_received<run_cancel> &inReceived) { cancel(inReceived.message); });
     mRegistry.handle<peer_received<endpoint_status>>(
         name(), [this](const peer_received<endpoint_status> &inReceived) {
-            noteStatus(inReceived.message);
+            handlePeerStatus(inReceived.message);
         });
     mRegistry.handle<weight_load_result>(name(), [this](const weight_load_result &inResult) {
         const auto found = mOwned.find(inResult.endpoint);
@@ -132,21 +132,21 @@
     const std::vector<ownership::owner_candidate> live = candidates();
     for (const auto &[name, view] : mCatalog->endpoints()) {
         const auto owner = ownership::chooseOwner(name, view.failureDomain, live);
-        const bool wanted = !mDraining && view.kind == settings::endpoint_kind::model
+        const bool assigned = !mDraining && view.kind == settings::endpoint_kind::model
             && owner == mOptions.instance;
         const auto found = mOwned.find(name);
-        if (wanted && (found == mOwned.end() || !found->second.obsolete))
-            wantEndpoint(view);
+        if (assigned && (found == mOwned.end() || !found->second.obsolete))
+            assignEndpoint(view);
         else if (found != mOwned.end())
-            found->second.state->setWanted(false);
+            found->second.state->setAssigned(false);
     }
     for (auto &[name, entry] : mOwned) {
         if (entry.obsolete)
-            entry.state->setWanted(false);
+            entry.state->setAssigned(false);
     }
 }
 
-void owner_service::wantEndpoint(const settings::endpoint_view &inView)
+void owner_service::assignEndpoint(const settings::endpoint_view &inView)
 {
     owned &entry = mOwned[inView.name];
     if (!entry.state) {
@@ -162,13 +162,13 @@
             hooksOf(inView.name));
         const auto known = mKnownFences.find(inView.name);
         if (known != mKnownFences.end())
-            entry.state->noteFence(known->second);
+            entry.state->observeFence(known->second);
     }
     const auto self = mCatalog->instances().find(mOptions.instance);
     const auto slot = std::distance(mCatalog->instances().begin(), self);
     entry.state->configure(inView, static_cast<std::size_t>(std::max(1, mCatalog->maxQueue())),
                            mCatalog->patientMaxWait(), static_cast<std::uint64_t>(slot));
-    entry.state->setWanted(true);
+    entry.state->setAssigned(true);
 }
 
 owned_endpoint_hooks owner_service::hooksOf(const std::string &inEndpoint)
@@ -229,13 +229,13 @@
         entry.state->cancel(inCancel.requestId, inCancel.origin);
 }
 
-void owner_service::noteStatus(const endpoint_status &inStatus)
+void owner_service::handlePeerStatus(const endpoint_status &inStatus)
 {
     std::uint64_t &known = mKnownFences[inStatus.endpoint];
     known = std::max(known, inStatus.fence);
     const auto found = mOwned.find(inStatus.endpoint);
     if (found != mOwned.end())
-        found->second.state->noteFence(known);
+        found->second.state->observeFence(known);
 }
 
 void owner_service::startDrain()
@@ -252,7 +252,7 @@
     const core::time_point now = core::boot_clock::now();
     std::vector<std::string> leased;
     for (auto &[endpoint, entry] : mOwned) {
-        if (entry.state->wantsLease())
+        if (entry.state->needsLease())
             leased.push_back(endpoint);
     }
     mLeases.tick(leased);
@@ -293,7 +293,7 @@
     bool replaced = false;
     for (auto entry = mOwned.begin(); entry != mOwned.end();) {
         owned &current = entry->second;
-        const bool done = !current.state->isWanted() && !current.state->hasRuns()
+        const bool done = !current.state->isAssigned() && !current.state->hasRuns()
             && !current.state->status() && !(current.published && current.published->accepting);
         replaced = replaced || (done && current.obsolete);
         entry = done ? mOwned.erase(entry) : std::next(entry);
--- a/corneltally/entry/owner_service.h
+++ b/corneltally/entry/owner_service.h
@@ -68,12 +68,12 @@
     void startDrain();
     void submit(const run_submit &inSubmit);
     void cancel(const run_cancel &inCancel);
-    void noteStatus(const endpoint_status &inStatus);
+    void handlePeerStatus(const endpoint_status &inStatus);
 
     /// Chooses again which endpoints this instance owns.
     void chooseEndpoints();
     std::vector<ownership::owner_candidate> candidates() const;
-    void wantEndpoint(const settings::endpoint_view &inView);
+    void assignEndpoint(const settings::endpoint_view &inView);
     owned_endpoint_hooks hooksOf(const std::string &inEndpoint);
     void admitLoad(const std::string &inEndpoint, const std::string &inAdapter,
                    const std::string &inVersion);
--- a/tests/unit/ownership_owned_endpoint_test.cpp
+++ b/tests/unit/ownership_owned_endpoint_test.cpp
@@ -35,7 +35,7 @@
                 hooks())
     {
         owner.configure(viewOf(inEndpoint), inMaxQueued, 20s, inSlot);
-        owner.setWanted(true);
+        owner.setAssigned(true);
     }
 
     static settings::endpoint_view viewOf(const mock_endpoint &inEndpoint)
@@ -507,7 +507,7 @@
                     owner.submit("r" + std::to_string(nextRun++),
                                  std::string(1, "abcd"[random() % 4]), random() % 2 == 0);
                 if (random() % 200 == 0)
-                    owner.owner.setWanted(random() % 2 == 0);
+                    owner.owner.setAssigned(random() % 2 == 0);
                 if (random() % 200 == 0)
                     owner.owner.resumeAfterPause();
                 if (nextRun > 0 && random() % 40 == 0)
