--- a/corneltally/entry/owned_endpoint.h
+++ b/corneltally/entry/owned_endpoint.h
@@ -90,30 +90,30 @@
     void staleFence(std::uint64_t inUsedFence, const std::string &inReason);
     void watchLease();
     void poll();
-    void takeReport(const endpoint::engine_state &inState);
+    void handleReport(const endpoint::engine_state &inState);
     void pollFailed(const std::string &inReason);
 
     // Runs.
     bool mayTakeRuns() const;
-    bool mayContinueRuns() const;
+    bool mayResumeRuns() const;
     void queueRun(const run_submit &inSubmit);
-    void continueStream(const run_submit &inSubmit);
+    void resumeStream(const run_submit &inSubmit);
     void startRuns();
     void startRun(const scheduling::queued_request &inRequest);
     void resumeRun(owned_run &ioRun);
     endpoint::engine_run engineRun(const owned_run &inRun) const;
     endpoint::engine_run_events runEvents(const std::string &inRequestId);
-    void takeHead(owned_run &ioRun, int inStatus, const std::string &inContentType);
-    void takeEnd(const std::string &inRequestId, const endpoint::engine_run_end &inEnd);
-    void interruptRun(owned_run &ioRun, const std::string &inReason);
+    void handleHead(owned_run &ioRun, int inStatus, const std::string &inContentType);
+    void handleEnd(const std::string &inRequestId, const endpoint::engine_run_end &inEnd);
+    void handleInterruption(owned_run &ioRun, const std::string &inReason);
     void finishRun(const std::string &inRequestId, run_end inEnd, double inUsedTokens);
-    void noteUncertainRun(const owned_run &inRun);
+    void markUncertainRun(const owned_run &inRun);
     void refuse(const run_submit &inSubmit, core::error_kind inKind, const std::string &inReason);
     std::size_t refuseWaiting(core::error_kind inKind, const std::string &inReason);
-    void dropEarlier(const std::string &inRequestId);
+    void dropEarlierRun(const std::string &inRequestId);
     void expireWaiting();
     scheduling::queued_request queueEntry(const run_submit &inSubmit) const;
-    run_end notRun(core::error_kind inKind, const std::string &inReason) const;
+    run_end makeNotRunEnd(core::error_kind inKind, const std::string &inReason) const;
     core::duration estimatedWait() const;
 
     // Adapters.
--- a/corneltally/entry/owned_endpoint_impl.h
+++ b/corneltally/entry/owned_endpoint_impl.h
@@ -244,14 +244,14 @@
             return;
         mPolling = false;
         if (inState.outcome == endpoint::engine_outcome::completed)
-            takeReport(inState);
+            handleReport(inState);
         else
             pollFailed(inState.reason);
     });
 }
 
 template <endpoint::engine_protocol Engine>
-void owned_endpoint<Engine>::takeReport(const endpoint::engine_state &inState)
+void owned_endpoint<Engine>::handleReport(const endpoint::engine_state &inState)
 {
     if (mView.checksFencing && isOwning() && inState.fence > mTakeover.fence()) {
         loseOwnership("the endpoint reports a greater fencing number");
@@ -296,14 +296,14 @@
 {
     using phase = ownership::takeover::phase;
     // A number that replaces the own one is acquired within a round trip; the endpoint stays owned.
-    const bool renews = mTakeover.current() == phase::acquiring && mReported;
-    if (!isOwning() && !renews)
+    const bool isRenewing = mTakeover.current() == phase::acquiring && mReported;
+    if (!isOwning() && !isRenewing)
         return std::nullopt;
     endpoint_status status;
     status.endpoint = mView.name;
     status.owner = mOptions.instance;
     status.fence = mTakeover.fence();
-    status.accepting = (mayTakeRuns() || (renews && !mView.leaving))
+    status.accepting = (mayTakeRuns() || (isRenewing && !mView.leaving))
         && mQueue.queuedCount() < mQueue.settings().maxQueued && mHealth.mayStart(mHooks.now());
     for (const std::string &name : mSlots.adaptersIn(scheduling::adapter_slots::state::resident)) {
         if (mSlots.mayStart(name))
--- a/corneltally/entry/owned_endpoint_runs_impl.h
+++ b/corneltally/entry/owned_endpoint_runs_impl.h
@@ -19,7 +19,7 @@
 }
 
 template <endpoint::engine_protocol Engine>
-bool owned_endpoint<Engine>::mayContinueRuns() const
+bool owned_endpoint<Engine>::mayResumeRuns() const
 {
     return isOwning() || mTakeover.current() == ownership::takeover::phase::releasing;
 }
@@ -30,11 +30,11 @@
     const core::time_point now = mHooks.now();
     mOptions.longestRequest = std::max(mOptions.longestRequest, inSubmit.request.deadline - now);
     // The origin repeats or continues a run whose events it lost.
-    dropEarlier(inSubmit.request.requestId);
+    dropEarlierRun(inSubmit.request.requestId);
     if (inSubmit.request.deadline <= now)
         refuse(inSubmit, core::error_kind::timeout, "the deadline passed before the run started");
     else if (inSubmit.resumeFrom > 0)
-        continueStream(inSubmit);
+        resumeStream(inSubmit);
     else
         queueRun(inSubmit);
 }
@@ -43,9 +43,9 @@
 void owned_endpoint<Engine>::queueRun(const run_submit &inSubmit)
 {
     // While a number that replaces the own one is acquired, runs wait for it.
-    const bool renews = mTakeover.current() == ownership::takeover::phase::acquiring && mReported
-        && !mDraining && !mView.leaving;
-    if (!mayTakeRuns() && !renews) {
+    const bool isRenewing = mTakeover.current() == ownership::takeover::phase::acquiring
+        && mReported && !mDraining && !mView.leaving;
+    if (!mayTakeRuns() && !isRenewing) {
         refuse(inSubmit, core::error_kind::unavailable,
                mView.leaving ? "the endpoint is leaving"
                              : "this instance does not serve the endpoint");
@@ -65,9 +65,9 @@
 }
 
 template <endpoint::engine_protocol Engine>
-void owned_endpoint<Engine>::continueStream(const run_submit &inSubmit)
+void owned_endpoint<Engine>::resumeStream(const run_submit &inSubmit)
 {
-    if (!mayContinueRuns() || mDraining) {
+    if (!mayResumeRuns() || mDraining) {
         refuse(inSubmit, core::error_kind::unavailable, "this instance does not own the endpoint");
         return;
     }
@@ -100,7 +100,7 @@
         return;
     mEngine.cancelCall(running->second.call);
     mEngine.cancelStream(inRequestId);
-    noteUncertainRun(running->second);
+    markUncertainRun(running->second);
     mHealth.abandoned();
     const double used = running->second.submitted.request.promptTokens
         + static_cast<double>(running->second.nextPart);
@@ -163,7 +163,7 @@
     const run &request = ioRun.submitted.request;
     ioRun.resumeAt.reset();
     if (mHooks.now() >= request.deadline) {
-        interruptRun(ioRun, "the request was not answered in time");
+        handleInterruption(ioRun, "the request was not answered in time");
         return;
     }
     ioRun.call = mEngine.resume(engineRun(ioRun), ioRun.nextPart, runEvents(request.requestId));
@@ -194,7 +194,7 @@
                 [this, id = inRequestId](int inStatus, const std::string &inContentType) {
                     const auto found = mRuns.find(id);
                     if (found != mRuns.end())
-                        takeHead(found->second, inStatus, inContentType);
+                        handleHead(found->second, inStatus, inContentType);
                 },
             .onChunk =
                 [this, id = inRequestId](std::uint64_t inIndex, std::string_view inData) {
@@ -207,12 +207,12 @@
                                      {id, run_chunk{inIndex, std::string(inData)}});
                 },
             .onEnd = [this, id = inRequestId](
-                         const endpoint::engine_run_end &inEnd) { takeEnd(id, inEnd); }};
+                         const endpoint::engine_run_end &inEnd) { handleEnd(id, inEnd); }};
 }
 
 template <endpoint::engine_protocol Engine>
-void owned_endpoint<Engine>::takeHead(owned_run &ioRun, int inStatus,
-                                      const std::string &inContentType)
+void owned_endpoint<Engine>::handleHead(owned_run &ioRun, int inStatus,
+                                        const std::string &inContentType)
 {
     ioRun.reachedEndpoint = true;
     if (std::exchange(ioRun.headSent, true))
@@ -222,8 +222,8 @@
 }
 
 template <endpoint::engine_protocol Engine>
-void owned_endpoint<Engine>::takeEnd(const std::string &inRequestId,
-                                     const endpoint::engine_run_end &inEnd)
+void owned_endpoint<Engine>::handleEnd(const std::string &inRequestId,
+                                       const endpoint::engine_run_end &inEnd)
 {
     using outcome = endpoint::engine_outcome;
     const auto found = mRuns.find(inRequestId);
@@ -245,7 +245,7 @@
     }
     // A refusal of a continuation does not prove that the run itself did not start.
     if (inEnd.outcome == outcome::unknown || wasResumed) {
-        interruptRun(running, inEnd.reason);
+        handleInterruption(running, inEnd.reason);
         return;
     }
     if (inEnd.outcome == outcome::not_sent || inEnd.outcome == outcome::refused)
@@ -255,14 +255,14 @@
     const std::uint64_t fence = running.fence;
     if (inEnd.outcome == outcome::not_resident)
         mSlots.missing(running.adapter, now);
-    finishRun(inRequestId, notRun(core::error_kind::unavailable, inEnd.reason), 0);
+    finishRun(inRequestId, makeNotRunEnd(core::error_kind::unavailable, inEnd.reason), 0);
     if (inEnd.outcome == outcome::stale_fence)
         staleFence(fence, inEnd.reason);
 }
 
 /// A call ended without an answer: the stream is continued if that is possible.
 template <endpoint::engine_protocol Engine>
-void owned_endpoint<Engine>::interruptRun(owned_run &ioRun, const std::string &inReason)
+void owned_endpoint<Engine>::handleInterruption(owned_run &ioRun, const std::string &inReason)
 {
     static constexpr int cMaxResumptions = 4;
     static constexpr core::duration cFirstDelay = std::chrono::milliseconds(50);
@@ -279,7 +279,7 @@
     const double used = ioRun.submitted.request.promptTokens + static_cast<double>(ioRun.nextPart);
     mHealth.failed(now);
     mEngine.cancelStream(id);
-    noteUncertainRun(ioRun);
+    markUncertainRun(ioRun);
     run_end end{.outcome = run_outcome::unknown,
                 .error = {timedOut ? core::error_kind::timeout : core::error_kind::outcome_unknown,
                           inReason, "find out whether the request ran before repeating it"},
@@ -300,7 +300,7 @@
 }
 
 template <endpoint::engine_protocol Engine>
-void owned_endpoint<Engine>::noteUncertainRun(const owned_run &inRun)
+void owned_endpoint<Engine>::markUncertainRun(const owned_run &inRun)
 {
     const core::time_point now = mHooks.now();
     if (inRun.reachedEndpoint) {
@@ -317,7 +317,8 @@
 void owned_endpoint<Engine>::refuse(const run_submit &inSubmit, core::error_kind inKind,
                                     const std::string &inReason)
 {
-    mHooks.sendEvent(inSubmit.origin, {inSubmit.request.requestId, notRun(inKind, inReason)});
+    mHooks.sendEvent(inSubmit.origin,
+                     {inSubmit.request.requestId, makeNotRunEnd(inKind, inReason)});
 }
 
 template <endpoint::engine_protocol Engine>
@@ -332,7 +333,7 @@
 }
 
 template <endpoint::engine_protocol Engine>
-void owned_endpoint<Engine>::dropEarlier(const std::string &inRequestId)
+void owned_endpoint<Engine>::dropEarlierRun(const std::string &inRequestId)
 {
     if (mQueue.remove(inRequestId))
         mWaiting.erase(inRequestId);
@@ -340,7 +341,7 @@
     if (running == mRuns.end())
         return;
     mEngine.cancelCall(running->second.call);
-    noteUncertainRun(running->second);
+    markUncertainRun(running->second);
     mHealth.abandoned();
     mRuns.erase(running);
     mQueue.ended(inRequestId, 0);
@@ -370,7 +371,8 @@
 }
 
 template <endpoint::engine_protocol Engine>
-run_end owned_endpoint<Engine>::notRun(core::error_kind inKind, const std::string &inReason) const
+run_end owned_endpoint<Engine>::makeNotRunEnd(core::error_kind inKind,
+                                              const std::string &inReason) const
 {
     run_end end{.outcome = run_outcome::not_run,
                 .error = {inKind, inReason, "repeat the request"},
