--- a/corneltally/entry/owned_endpoint.h
+++ b/corneltally/entry/owned_endpoint.h
@@ -87,8 +87,8 @@
     void ownershipAcquired(std::uint64_t inFence);
     void acquireFailed(const std::string &inReason);
     void loseOwnership(const std::string &inReason);
-    void staleFence(std::uint64_t inUsedFence, const std::string &inReason);
-    void watchLease();
+    void handleStaleFence(std::uint64_t inUsedFence, const std::string &inReason);
+    void updateLeaseState();
     void poll();
     void handleReport(const endpoint::engine_state &inState);
     void pollFailed(const std::string &inReason);
@@ -120,13 +120,13 @@
     bool mayCommand() const;
     bool isInUse(const std::string &inAdapter) const;
     void decideSlots();
-    void askForPermit(const std::string &inAdapter);
+    void requestPermit(const std::string &inAdapter);
     void returnPermit();
     void sendLoad(const std::string &inAdapter);
     void loadEnded(const sent_command &inSent, const endpoint::engine_command_result &inResult);
     void sendUnload(const std::string &inAdapter);
     void unloadEnded(const sent_command &inSent, const endpoint::engine_command_result &inResult);
-    void resolveUnloads();
+    void expireUncertainUnloads();
 
     Engine &mEngine;
     settings::endpoint_view mView;
--- a/corneltally/entry/owned_endpoint_adapters_impl.h
+++ b/corneltally/entry/owned_endpoint_adapters_impl.h
@@ -48,7 +48,7 @@
         return;
     // An unload only makes sense if the load after it is admitted: until then the slot serves.
     if (!mPermit) {
-        askForPermit(decision.wanted);
+        requestPermit(decision.wanted);
     } else if (mPermit->granted) {
         if (decision.kind == scheduling::slot_decision::action::unload)
             sendUnload(decision.adapter);
@@ -61,7 +61,7 @@
 }
 
 template <endpoint::engine_protocol Engine>
-void owned_endpoint<Engine>::askForPermit(const std::string &inAdapter)
+void owned_endpoint<Engine>::requestPermit(const std::string &inAdapter)
 {
     mPermit = load_permit{inAdapter, mHooks.now(), false};
     const resident_adapter parts = splitAdapterName(inAdapter);
@@ -132,7 +132,7 @@
         return;
     mSlots.loadEnded(inSent.adapter, loaded, mHooks.now());
     if (inResult.outcome == endpoint::engine_outcome::stale_fence)
-        staleFence(inSent.fence, inResult.reason);
+        handleStaleFence(inSent.fence, inResult.reason);
     startRuns();
     decideSlots();
 }
@@ -173,12 +173,12 @@
     mUnloads += gone ? 1 : 0;
     mSlots.unloadEnded(inSent.adapter, gone, mHooks.now());
     if (inResult.outcome == outcome::stale_fence)
-        staleFence(inSent.fence, inResult.reason);
+        handleStaleFence(inSent.fence, inResult.reason);
     decideSlots();
 }
 
 template <endpoint::engine_protocol Engine>
-void owned_endpoint<Engine>::resolveUnloads()
+void owned_endpoint<Engine>::expireUncertainUnloads()
 {
     const core::time_point now = mHooks.now();
     std::erase_if(mUncertainUnloads, [&](const auto &inEntry) {
--- a/corneltally/entry/owned_endpoint_impl.h
+++ b/corneltally/entry/owned_endpoint_impl.h
@@ -95,7 +95,7 @@
         acquire();
     if (mTakeover.current() == phase::releasing && mRuns.empty())
         mTakeover.lost();
-    watchLease();
+    updateLeaseState();
     const bool holds = isOwning() || mTakeover.current() == phase::releasing;
     if (holds && !mPolling && now >= mNextPoll)
         poll();
@@ -107,7 +107,7 @@
     }
     for (const std::string &id : due)
         resumeRun(mRuns.find(id)->second);
-    resolveUnloads();
+    expireUncertainUnloads();
     startRuns();
     decideSlots();
 }
@@ -214,7 +214,8 @@
 }
 
 template <endpoint::engine_protocol Engine>
-void owned_endpoint<Engine>::staleFence(std::uint64_t inUsedFence, const std::string &inReason)
+void owned_endpoint<Engine>::handleStaleFence(std::uint64_t inUsedFence,
+                                              const std::string &inReason)
 {
     // The refusal of a number that this instance has replaced itself says nothing.
     if (isOwning() && inUsedFence == mTakeover.fence())
@@ -222,7 +223,7 @@
 }
 
 template <endpoint::engine_protocol Engine>
-void owned_endpoint<Engine>::watchLease()
+void owned_endpoint<Engine>::updateLeaseState()
 {
     if (mView.checksFencing)
         return;
--- a/corneltally/entry/owned_endpoint_runs_impl.h
+++ b/corneltally/entry/owned_endpoint_runs_impl.h
@@ -257,7 +257,7 @@
         mSlots.missing(running.adapter, now);
     finishRun(inRequestId, makeNotRunEnd(core::error_kind::unavailable, inEnd.reason), 0);
     if (inEnd.outcome == outcome::stale_fence)
-        staleFence(fence, inEnd.reason);
+        handleStaleFence(fence, inEnd.reason);
 }
 
 /// A call ended without an answer: the stream is continued if that is possible.
