--- a/corneltally/entry/owner_service.cpp
+++ b/corneltally/entry/owner_service.cpp
@@ -48,8 +48,9 @@
         name(), [this](const catalog_changed &inChange) { applyCatalog(inChange); });
     mRegistry.handle<peers_changed>(
         name(), [this](const peers_changed &inChange) { applyPeers(inChange); });
-    mRegistry.handle<peer_connected>(
-        name(), [this](const peer_connected &inConnected) { publishAllTo(inConnected.instance); });
+    mRegistry.handle<peer_connected>(name(), [this](const peer_connected &inConnected) {
+        publishStatusesTo(inConnected.instance);
+    });
     mRegistry.handle<paused>(name(), [this](const paused &) {
         for (auto &[endpoint, entry] : mOwned)
             entry.state->resumeAfterPause();
@@ -110,7 +111,7 @@
     chooseEndpoints();
     for (const std::string &instance : mPeers.live) {
         if (instance != mOptions.instance && !isKnown(before, instance))
-            publishAllTo(instance);
+            publishStatusesTo(instance);
     }
 }
 
@@ -148,18 +149,18 @@
 
 void owner_service::assignEndpoint(const settings::endpoint_view &inView)
 {
-    owned &entry = mOwned[inView.name];
+    owned_entry &entry = mOwned[inView.name];
     if (!entry.state) {
         entry.address = inView.address;
         entry.engine = std::make_unique<endpoint::engine_client>(
             mRegistry.loop(), http::parseAddress(inView.address));
-        entry.state = std::make_unique<owned_state>(
+        entry.state = std::make_unique<engine_endpoint>(
             *entry.engine, inView,
             owned_endpoint_options{.instance = mOptions.instance,
                                    .incarnation = mOptions.incarnation,
-                                   .firstLeaseSequence = ++mCreated << 32U,
+                                   .firstLeaseSequence = ++mCreatedCount << 32U,
                                    .ignoreUnknownUse = mOptions.ignoreUnknownUse},
-            hooksOf(inView.name));
+            makeHooks(inView.name));
         const auto known = mKnownFences.find(inView.name);
         if (known != mKnownFences.end())
             entry.state->observeFence(known->second);
@@ -171,7 +172,7 @@
     entry.state->setAssigned(true);
 }
 
-owned_endpoint_hooks owner_service::hooksOf(const std::string &inEndpoint)
+owned_endpoint_hooks owner_service::makeHooks(const std::string &inEndpoint)
 {
     return {.now = [] { return core::boot_clock::now(); },
             .sendEvent = [this](const std::string &inOrigin,
@@ -242,7 +243,7 @@
 {
     mDraining = true;
     for (auto &[endpoint, entry] : mOwned)
-        mHandedOver += entry.state->startDrain();
+        mReturnedRuns += entry.state->startDrain();
     chooseEndpoints();
     reportDrained();
 }
@@ -265,22 +266,22 @@
         reportDrained();
 }
 
-void owner_service::publish(owned &ioOwned, core::time_point inNow)
+void owner_service::publish(owned_entry &ioEntry, core::time_point inNow)
 {
-    std::optional<endpoint_status> status = ioOwned.state->status();
-    if (!status && ioOwned.published && ioOwned.published->accepting) {
-        status = ioOwned.published;
+    std::optional<endpoint_status> status = ioEntry.state->status();
+    if (!status && ioEntry.published && ioEntry.published->accepting) {
+        status = ioEntry.published;
         status->accepting = false;
     }
-    if (!status || status == ioOwned.published || inNow - ioOwned.publishedAt < cPublishPeriod)
+    if (!status || status == ioEntry.published || inNow - ioEntry.publishedAt < cPublishPeriod)
         return;
-    ioOwned.published = status;
-    ioOwned.publishedAt = inNow;
+    ioEntry.published = status;
+    ioEntry.publishedAt = inNow;
     mRegistry.post("dispatch", *status);
     mRegistry.post("peers", peer_send{"", *status});
 }
 
-void owner_service::publishAllTo(const std::string &inInstance)
+void owner_service::publishStatusesTo(const std::string &inInstance)
 {
     for (const auto &[endpoint, entry] : mOwned) {
         if (entry.published && entry.state->status())
@@ -292,7 +293,7 @@
 {
     bool replaced = false;
     for (auto entry = mOwned.begin(); entry != mOwned.end();) {
-        owned &current = entry->second;
+        owned_entry &current = entry->second;
         const bool done = !current.state->isAssigned() && !current.state->hasRuns()
             && !current.state->status() && !(current.published && current.published->accepting);
         replaced = replaced || (done && current.obsolete);
@@ -309,7 +310,7 @@
         mOwned, [](const auto &inEntry) { return inEntry.second.state->hasRuns(); });
     if (running || std::exchange(mDrainReported, true))
         return;
-    mRegistry.post("drain", endpoints_drained{mHandedOver});
+    mRegistry.post("drain", endpoints_drained{mReturnedRuns});
 }
 
 std::string owner_service::dump() const
--- a/corneltally/entry/owner_service.h
+++ b/corneltally/entry/owner_service.h
@@ -48,11 +48,11 @@
     std::string dump() const override;
 
 private:
-    using owned_state = owned_endpoint<endpoint::engine_client>;
+    using engine_endpoint = owned_endpoint<endpoint::engine_client>;
 
-    struct owned
+    struct owned_entry
     {
-        std::unique_ptr<owned_state> state;
+        std::unique_ptr<engine_endpoint> state;
         /// Declared after the state, so that its calls end before the state that they report to.
         std::unique_ptr<endpoint::engine_client> engine;
         std::string address;
@@ -74,14 +74,14 @@
     void chooseEndpoints();
     std::vector<ownership::owner_candidate> candidates() const;
     void assignEndpoint(const settings::endpoint_view &inView);
-    owned_endpoint_hooks hooksOf(const std::string &inEndpoint);
+    owned_endpoint_hooks makeHooks(const std::string &inEndpoint);
     void admitLoad(const std::string &inEndpoint, const std::string &inAdapter,
                    const std::string &inVersion);
     void sendEvent(const std::string &inOrigin, run_event inEvent);
 
     void tick();
-    void publish(owned &ioOwned, core::time_point inNow);
-    void publishAllTo(const std::string &inInstance);
+    void publish(owned_entry &ioEntry, core::time_point inNow);
+    void publishStatusesTo(const std::string &inInstance);
     void removeUnused();
     void reportDrained();
 
@@ -89,14 +89,14 @@
     owner_options mOptions;
     std::shared_ptr<const settings::catalog> mCatalog;
     peers_changed mPeers;
-    std::map<std::string, owned, std::less<>> mOwned;
+    std::map<std::string, owned_entry, std::less<>> mOwned;
     /// Greatest fencing number that was published for each endpoint.
     std::map<std::string, std::uint64_t, std::less<>> mKnownFences;
     /// Endpoints created so far; keeps the sequence numbers of their leases apart.
-    std::uint64_t mCreated = 0;
+    std::uint64_t mCreatedCount = 0;
     bool mDraining = false;
     bool mDrainReported = false;
-    std::size_t mHandedOver = 0;
+    std::size_t mReturnedRuns = 0;
     platform::log_client mLog;
     lease_sync<platform::log_client> mLeases;
     kernel::timer mTick;
