--- a/corneltally/entry/dispatch_service.cpp
+++ b/corneltally/entry/dispatch_service.cpp
@@ -68,11 +68,11 @@
             takeEvent(inReceived.message, inReceived.instance);
         });
     mRegistry.handle<endpoint_status>(name(), [this](const endpoint_status &inStatus) {
-        mDirectory.takeStatus(inStatus, core::boot_clock::now());
+        mDirectory.updateStatus(inStatus, core::boot_clock::now());
     });
     mRegistry.handle<peer_received<endpoint_status>>(
         name(), [this](const peer_received<endpoint_status> &inReceived) {
-            mDirectory.takeStatus(inReceived.message, core::boot_clock::now());
+            mDirectory.updateStatus(inReceived.message, core::boot_clock::now());
         });
     mRegistry.handle<catalog_changed>(name(), [this](const catalog_changed &inChange) {
         mDirectory.setCatalog(inChange.catalog);
@@ -134,7 +134,7 @@
 void dispatch_service::attemptModel(dispatched_run &ioRun, core::time_point inNow)
 {
     std::optional<std::string> chosen
-        = mDirectory.chooseModel(ioRun.request, ioRun.refusedBy, inNow, mRandom());
+        = mDirectory.chooseModelEndpoint(ioRun.request, ioRun.refusedBy, inNow, mRandom());
     const std::optional<std::string> owner = chosen ? mDirectory.ownerOf(*chosen) : std::nullopt;
     if (!owner) {
         // All that refused it once may take it later.
@@ -191,7 +191,7 @@
 void dispatch_service::attemptService(dispatched_run &ioRun, core::time_point inNow)
 {
     std::optional<std::string> chosen
-        = mDirectory.chooseService(ioRun.request, ioRun.refusedBy, inNow, mRandom());
+        = mDirectory.chooseServiceEndpoint(ioRun.request, ioRun.refusedBy, inNow, mRandom());
     if (!chosen) {
         waitForEndpoint(ioRun, inNow);
         return;
--- a/corneltally/entry/endpoint_directory.cpp
+++ b/corneltally/entry/endpoint_directory.cpp
@@ -29,7 +29,7 @@
     mDraining = std::move(inDraining);
 }
 
-void endpoint_directory::takeStatus(const endpoint_status &inStatus, core::time_point /*inNow*/)
+void endpoint_directory::updateStatus(const endpoint_status &inStatus, core::time_point /*inNow*/)
 {
     entry &known = mEntries[inStatus.endpoint];
     if (known.status && known.status->owner != inStatus.owner
@@ -77,10 +77,10 @@
     return self == nullptr ? std::string() : self->failureDomain;
 }
 
-std::optional<std::string> endpoint_directory::chooseModel(const run &inRun,
-                                                           const name_set &inExcluded,
-                                                           core::time_point inNow,
-                                                           std::uint64_t inRandom)
+std::optional<std::string> endpoint_directory::chooseModelEndpoint(const run &inRun,
+                                                                   const name_set &inExcluded,
+                                                                   core::time_point inNow,
+                                                                   std::uint64_t inRandom)
 {
     if (!mCatalog)
         return std::nullopt;
@@ -119,10 +119,10 @@
     return std::string(options[*chosen].name);
 }
 
-std::optional<std::string> endpoint_directory::chooseService(const run &inRun,
-                                                             const name_set &inExcluded,
-                                                             core::time_point inNow,
-                                                             std::uint64_t inRandom)
+std::optional<std::string> endpoint_directory::chooseServiceEndpoint(const run &inRun,
+                                                                     const name_set &inExcluded,
+                                                                     core::time_point inNow,
+                                                                     std::uint64_t inRandom)
 {
     if (!mCatalog)
         return std::nullopt;
--- a/corneltally/entry/endpoint_directory.h
+++ b/corneltally/entry/endpoint_directory.h
@@ -34,7 +34,7 @@
     void setInstances(name_set inLive, name_set inDraining);
     /// Whether messages reach an instance, which may be live but not connected for a while.
     void setConnected(const std::string &inInstance, bool inConnected);
-    void takeStatus(const endpoint_status &inStatus, core::time_point inNow);
+    void updateStatus(const endpoint_status &inStatus, core::time_point inNow);
 
     /// Whether an instance can still finish runs.
     bool isPresent(std::string_view inInstance) const;
@@ -43,11 +43,12 @@
     const settings::endpoint_view *find(std::string_view inEndpoint) const;
 
     /// Endpoint for a run of an adapter. Endpoints that refused this run before are avoided.
-    std::optional<std::string> chooseModel(const run &inRun, const name_set &inExcluded,
-                                           core::time_point inNow, std::uint64_t inRandom);
+    std::optional<std::string> chooseModelEndpoint(const run &inRun, const name_set &inExcluded,
+                                                   core::time_point inNow, std::uint64_t inRandom);
     /// Endpoint for a call to an application service.
-    std::optional<std::string> chooseService(const run &inRun, const name_set &inExcluded,
-                                             core::time_point inNow, std::uint64_t inRandom);
+    std::optional<std::string> chooseServiceEndpoint(const run &inRun, const name_set &inExcluded,
+                                                     core::time_point inNow,
+                                                     std::uint64_t inRandom);
 
     void started(const run &inRun, std::string_view inEndpoint, core::time_point inNow);
     void succeeded(const run &inRun, std::string_view inEndpoint, core::duration inLatency,
--- a/corneltally/entry/lease_sync.h
+++ b/corneltally/entry/lease_sync.h
@@ -23,7 +23,7 @@
     lease_sync(Log &inLog, std::function<core::time_point()> inNow, lease_finder inFinder)
         : mLog(inLog)
         , mNow(std::move(inNow))
-        , mFind(std::move(inFinder))
+        , mFindLease(std::move(inFinder))
     { }
 
     /// Reads and appends what is due for the endpoints whose leases are wanted.
@@ -34,7 +34,7 @@
         if (!mReading && mNow() >= mNextRead)
             read();
         for (const std::string &endpoint : inEndpoints) {
-            ownership::lease *lease = mFind(endpoint);
+            ownership::lease *lease = mFindLease(endpoint);
             if (lease == nullptr)
                 continue;
             lease->observe(mTable, mNow());
@@ -56,10 +56,10 @@
                    .from = mTable.nextOffset(),
                    .limit = 200,
                    .wait = std::chrono::milliseconds(1000)},
-                  [this](const platform::read_result &inResult) { takeRecords(inResult); });
+                  [this](const platform::read_result &inResult) { handleRecords(inResult); });
     }
 
-    void takeRecords(const platform::read_result &inResult)
+    void handleRecords(const platform::read_result &inResult)
     {
         mReading = false;
         if (inResult.outcome == platform::read_outcome::failed) {
@@ -75,7 +75,7 @@
             const auto record = ownership::lease_record::sFromJson(entry.data);
             if (record) {
                 mTable.apply(entry.offset, *record, mNow());
-                if (ownership::lease *lease = mFind(record->endpoint))
+                if (ownership::lease *lease = mFindLease(record->endpoint))
                     lease->observe(mTable, mNow());
             } else {
                 mTable.skip(entry.offset);
@@ -93,7 +93,7 @@
             return;
         mLog.append(
             sStream, record->toJson(), [this, inEndpoint](const platform::append_result &inResult) {
-                ownership::lease *lease = mFind(inEndpoint);
+                ownership::lease *lease = mFindLease(inEndpoint);
                 if (lease != nullptr && inResult.outcome != platform::append_outcome::appended)
                     lease->appendFailed(mNow());
             });
@@ -101,7 +101,7 @@
 
     Log &mLog;
     std::function<core::time_point()> mNow;
-    lease_finder mFind;
+    lease_finder mFindLease;
     ownership::lease_table mTable;
     bool mReading = false;
     bool mCaughtUp = false;
