--- a/corneltally/entry/peer_codec.cpp
+++ b/corneltally/entry/peer_codec.cpp
@@ -30,7 +30,7 @@
 };
 
 template <typename Table>
-encoded_body bodyOf(Offset<Table> inTable)
+encoded_body makeBody(Offset<Table> inTable)
 {
     return {wire::BodyTraits<Table>::enum_value, inTable.Union()};
 }
@@ -69,12 +69,12 @@
         overloaded{
             [&](const run_head &inHead) {
                 const auto contentType = ioBuilder.CreateString(inHead.contentType);
-                return bodyOf(
+                return makeBody(
                     wire::CreateRunHead(ioBuilder, requestId, inHead.status, contentType));
             },
             [&](const run_chunk &inChunk) {
                 const auto data = ioBuilder.CreateString(inChunk.data);
-                return bodyOf(wire::CreateRunChunk(ioBuilder, requestId, inChunk.index, data));
+                return makeBody(wire::CreateRunChunk(ioBuilder, requestId, inChunk.index, data));
             },
             [&](const run_end &inEnd) {
                 const auto message = ioBuilder.CreateString(inEnd.error.message);
@@ -82,7 +82,7 @@
                 const auto error = wire::CreateError(
                     ioBuilder, static_cast<std::uint8_t>(inEnd.error.kind), message, remedy);
                 const auto endpoint = ioBuilder.CreateString(inEnd.endpoint);
-                return bodyOf(wire::CreateRunEnd(
+                return makeBody(wire::CreateRunEnd(
                     ioBuilder, requestId, static_cast<wire::RunOutcome>(inEnd.outcome), error,
                     inEnd.outputTokens, inEnd.retryAfterSeconds, endpoint));
             },
@@ -108,7 +108,7 @@
     const auto owner = ioBuilder.CreateString(inStatus.owner);
     const auto resident = encodeAdapters(ioBuilder, inStatus.resident);
     const auto loading = encodeAdapters(ioBuilder, inStatus.loading);
-    return bodyOf(wire::CreateEndpointStatus(
+    return makeBody(wire::CreateEndpointStatus(
         ioBuilder, endpoint, owner, inStatus.fence, inStatus.accepting, resident, loading,
         inStatus.running, inStatus.queued, inStatus.queuedTokens, inStatus.estimatedWait.count()));
 }
@@ -121,7 +121,7 @@
         const auto data = ioBuilder.CreateString(record.data);
         offsets.push_back(wire::CreateSettingsRecord(ioBuilder, record.offset, data));
     }
-    return bodyOf(wire::CreateSettingsRecords(ioBuilder, ioBuilder.CreateVector(offsets)));
+    return makeBody(wire::CreateSettingsRecords(ioBuilder, ioBuilder.CreateVector(offsets)));
 }
 
 encoded_body encodePeerMessage(FlatBufferBuilder &ioBuilder, const peer_message &inMessage,
@@ -132,68 +132,68 @@
         overloaded{
             [&](const run_submit &inSubmit) {
                 const auto request = encodeRun(builder, inSubmit.request, inNow);
-                return bodyOf(
+                return makeBody(
                     wire::CreateRunRequestDirect(builder, request, inSubmit.endpoint.c_str(),
                                                  inSubmit.origin.c_str(), inSubmit.resumeFrom));
             },
             [&](const run_cancel &inCancel) {
-                return bodyOf(wire::CreateRunCancelDirect(builder, inCancel.requestId.c_str(),
-                                                          inCancel.origin.c_str()));
+                return makeBody(wire::CreateRunCancelDirect(builder, inCancel.requestId.c_str(),
+                                                            inCancel.origin.c_str()));
             },
             [&](const run_event &inEvent) { return encodeRunEvent(builder, inEvent); },
             [&](const endpoint_status &inStatus) { return encodeStatus(builder, inStatus); },
             [&](const loan_request &inLoan) {
-                return bodyOf(wire::CreateLoanRequestDirect(
+                return makeBody(wire::CreateLoanRequestDirect(
                     builder, inLoan.account.c_str(), inLoan.loanId, inLoan.rate, inLoan.tokens));
             },
             [&](const loan_grant &inLoan) {
-                return bodyOf(wire::CreateLoanGrantDirect(builder, inLoan.account.c_str(),
-                                                          inLoan.loanId, inLoan.rate, inLoan.burst,
-                                                          inLoan.tokens, inLoan.validFor.count()));
+                return makeBody(wire::CreateLoanGrantDirect(
+                    builder, inLoan.account.c_str(), inLoan.loanId, inLoan.rate, inLoan.burst,
+                    inLoan.tokens, inLoan.validFor.count()));
             },
             [&](const settings_records &inRecords) { return encodeRecords(builder, inRecords); },
             [&](const settings_request &inRequest) {
-                return bodyOf(wire::CreateSettingsRequest(builder, inRequest.afterOffset));
+                return makeBody(wire::CreateSettingsRequest(builder, inRequest.afterOffset));
             },
             [&](const settings_snapshot &inSnapshot) {
                 const auto tree = builder.CreateString(inSnapshot.tree);
-                return bodyOf(wire::CreateSettingsSnapshot(builder, inSnapshot.offset, tree));
+                return makeBody(wire::CreateSettingsSnapshot(builder, inSnapshot.offset, tree));
             },
         },
         inMessage);
 }
 
-std::string text(const flatbuffers::String *inText)
+std::string toString(const flatbuffers::String *inText)
 {
     return inText->str();
 }
 
 template <typename Enum>
-bool inRange(Enum inValue, Enum inLast)
+bool isInRange(Enum inValue, Enum inLast)
 {
     return static_cast<unsigned>(inValue) <= static_cast<unsigned>(inLast);
 }
 
-using decoded = std::optional<wire_message>;
+using decode_result = std::optional<wire_message>;
 
-decoded decodeSubmit(const wire::RunRequest &inTable, core::time_point inNow)
+decode_result decodeSubmit(const wire::RunRequest &inTable, core::time_point inNow)
 {
     const wire::Run &source = *inTable.run();
-    if (!inRange(source.kind(), wire::EndpointKind::MAX)
-        || !inRange(source.traffic_class(), wire::TrafficClass::MAX))
+    if (!isInRange(source.kind(), wire::EndpointKind::MAX)
+        || !isInRange(source.traffic_class(), wire::TrafficClass::MAX))
         return std::nullopt;
-    run request{.requestId = text(source.request_id()),
-                .account = text(source.account()),
-                .route = text(source.route()),
+    run request{.requestId = toString(source.request_id()),
+                .account = toString(source.account()),
+                .route = toString(source.route()),
                 .kind = static_cast<settings::endpoint_kind>(source.kind()),
-                .adapter = text(source.adapter()),
-                .version = text(source.version()),
-                .baseModel = text(source.base_model()),
-                .method = text(source.method()),
-                .path = text(source.path()),
-                .contentType = text(source.content_type()),
-                .body = text(source.body()),
-                .orderId = text(source.order_id()),
+                .adapter = toString(source.adapter()),
+                .version = toString(source.version()),
+                .baseModel = toString(source.base_model()),
+                .method = toString(source.method()),
+                .path = toString(source.path()),
+                .contentType = toString(source.content_type()),
+                .body = toString(source.body()),
+                .orderId = toString(source.order_id()),
                 .promptTokens = source.prompt_tokens(),
                 .maxTokens = source.max_tokens(),
                 .stream = source.stream(),
@@ -202,25 +202,25 @@
                 .deadline = inNow + core::duration(source.remaining_us()),
                 .streamIdle = core::duration(source.stream_idle_us())};
     return peer_message(run_submit{.request = std::move(request),
-                                   .endpoint = text(inTable.endpoint()),
-                                   .origin = text(inTable.origin()),
+                                   .endpoint = toString(inTable.endpoint()),
+                                   .origin = toString(inTable.origin()),
                                    .resumeFrom = inTable.resume_from()});
 }
 
-decoded decodeEnd(const wire::RunEnd &inTable)
+decode_result decodeEnd(const wire::RunEnd &inTable)
 {
     const wire::Error &source = *inTable.error();
-    if (!inRange(inTable.outcome(), wire::RunOutcome::MAX)
+    if (!isInRange(inTable.outcome(), wire::RunOutcome::MAX)
         || source.kind() > static_cast<std::uint8_t>(core::error_kind::internal))
         return std::nullopt;
     run_end end{.outcome = static_cast<run_outcome>(inTable.outcome()),
                 .error = {.kind = static_cast<core::error_kind>(source.kind()),
-                          .message = text(source.message()),
-                          .remedy = text(source.remedy())},
+                          .message = toString(source.message()),
+                          .remedy = toString(source.remedy())},
                 .outputTokens = inTable.output_tokens(),
                 .retryAfterSeconds = inTable.retry_after_s(),
-                .endpoint = text(inTable.endpoint())};
-    return peer_message(run_event{text(inTable.request_id()), std::move(end)});
+                .endpoint = toString(inTable.endpoint())};
+    return peer_message(run_event{toString(inTable.request_id()), std::move(end)});
 }
 
 std::vector<resident_adapter>
@@ -229,15 +229,15 @@
     std::vector<resident_adapter> adapters;
     adapters.reserve(inAdapters.size());
     for (const wire::Adapter *entry : inAdapters)
-        adapters.push_back({text(entry->adapter()), text(entry->version())});
+        adapters.push_back({toString(entry->adapter()), toString(entry->version())});
     return adapters;
 }
 
-decoded decodeStatus(const wire::EndpointStatus &inTable)
+decode_result decodeStatus(const wire::EndpointStatus &inTable)
 {
     return peer_message(
-        endpoint_status{.endpoint = text(inTable.endpoint()),
-                        .owner = text(inTable.owner()),
+        endpoint_status{.endpoint = toString(inTable.endpoint()),
+                        .owner = toString(inTable.owner()),
                         .fence = inTable.fence(),
                         .accepting = inTable.accepting(),
                         .resident = decodeAdapters(*inTable.resident()),
@@ -248,26 +248,26 @@
                         .estimatedWait = core::duration(inTable.estimated_wait_us())});
 }
 
-decoded decodeRecords(const wire::SettingsRecords &inTable)
+decode_result decodeRecords(const wire::SettingsRecords &inTable)
 {
     settings_records records;
     for (const wire::SettingsRecord *entry : *inTable.records())
-        records.records.push_back({entry->offset(), text(entry->data())});
+        records.records.push_back({entry->offset(), toString(entry->data())});
     return peer_message(std::move(records));
 }
 
-decoded decodeBody(const wire::Envelope &inEnvelope, core::time_point inNow)
+decode_result decodeBody(const wire::Envelope &inEnvelope, core::time_point inNow)
 {
     switch (inEnvelope.body_type()) {
     case wire::Body::Hello: {
         const wire::Hello &hello = *inEnvelope.body_as_Hello();
-        return peer_hello{text(hello.instance()), hello.incarnation(),
+        return peer_hello{toString(hello.instance()), hello.incarnation(),
                           hello.receiver_incarnation()};
     }
     case wire::Body::Heartbeat: {
-        const wire::Heartbeat &beat = *inEnvelope.body_as_Heartbeat();
-        return peer_heartbeat{beat.incarnation(), beat.settings_version(), beat.draining(),
-                              beat.receiver_incarnation()};
+        const wire::Heartbeat &heartbeat = *inEnvelope.body_as_Heartbeat();
+        return peer_heartbeat{heartbeat.incarnation(), heartbeat.settings_version(),
+                              heartbeat.draining(), heartbeat.receiver_incarnation()};
     }
     case wire::Body::DrainNotice:
         return peer_drain_notice{};
@@ -275,17 +275,17 @@
         return decodeSubmit(*inEnvelope.body_as_RunRequest(), inNow);
     case wire::Body::RunCancel: {
         const wire::RunCancel &cancel = *inEnvelope.body_as_RunCancel();
-        return peer_message(run_cancel{text(cancel.request_id()), text(cancel.origin())});
+        return peer_message(run_cancel{toString(cancel.request_id()), toString(cancel.origin())});
     }
     case wire::Body::RunHead: {
         const wire::RunHead &head = *inEnvelope.body_as_RunHead();
-        return peer_message(
-            run_event{text(head.request_id()), run_head{head.status(), text(head.content_type())}});
+        return peer_message(run_event{toString(head.request_id()),
+                                      run_head{head.status(), toString(head.content_type())}});
     }
     case wire::Body::RunChunk: {
         const wire::RunChunk &chunk = *inEnvelope.body_as_RunChunk();
-        return peer_message(
-            run_event{text(chunk.request_id()), run_chunk{chunk.index(), text(chunk.data())}});
+        return peer_message(run_event{toString(chunk.request_id()),
+                                      run_chunk{chunk.index(), toString(chunk.data())}});
     }
     case wire::Body::RunEnd:
         return decodeEnd(*inEnvelope.body_as_RunEnd());
@@ -294,11 +294,11 @@
     case wire::Body::LoanRequest: {
         const wire::LoanRequest &loan = *inEnvelope.body_as_LoanRequest();
         return peer_message(
-            loan_request{text(loan.account()), loan.loan_id(), loan.rate(), loan.tokens()});
+            loan_request{toString(loan.account()), loan.loan_id(), loan.rate(), loan.tokens()});
     }
     case wire::Body::LoanGrant: {
         const wire::LoanGrant &loan = *inEnvelope.body_as_LoanGrant();
-        return peer_message(loan_grant{text(loan.account()), loan.loan_id(), loan.rate(),
+        return peer_message(loan_grant{toString(loan.account()), loan.loan_id(), loan.rate(),
                                        loan.burst(), loan.tokens(),
                                        core::duration(loan.valid_for_us())});
     }
@@ -308,7 +308,7 @@
         return peer_message(settings_request{inEnvelope.body_as_SettingsRequest()->after_offset()});
     case wire::Body::SettingsSnapshot: {
         const wire::SettingsSnapshot &snapshot = *inEnvelope.body_as_SettingsSnapshot();
-        return peer_message(settings_snapshot{snapshot.offset(), text(snapshot.tree())});
+        return peer_message(settings_snapshot{snapshot.offset(), toString(snapshot.tree())});
     }
     case wire::Body::NONE:
         break;
@@ -324,16 +324,16 @@
     const encoded_body body = std::visit(
         overloaded{
             [&](const peer_hello &inHello) {
-                return bodyOf(wire::CreateHelloDirect(builder, inHello.instance.c_str(),
-                                                      inHello.incarnation,
-                                                      inHello.receiverIncarnation));
+                return makeBody(wire::CreateHelloDirect(builder, inHello.instance.c_str(),
+                                                        inHello.incarnation,
+                                                        inHello.receiverIncarnation));
             },
-            [&](const peer_heartbeat &inBeat) {
-                return bodyOf(wire::CreateHeartbeat(builder, inBeat.incarnation,
-                                                    inBeat.settingsVersion, inBeat.draining,
-                                                    inBeat.receiverIncarnation));
+            [&](const peer_heartbeat &inHeartbeat) {
+                return makeBody(wire::CreateHeartbeat(
+                    builder, inHeartbeat.incarnation, inHeartbeat.settingsVersion,
+                    inHeartbeat.draining, inHeartbeat.receiverIncarnation));
             },
-            [&](const peer_drain_notice &) { return bodyOf(wire::CreateDrainNotice(builder)); },
+            [&](const peer_drain_notice &) { return makeBody(wire::CreateDrainNotice(builder)); },
             [&](const peer_message &inPeerMessage) {
                 return encodePeerMessage(builder, inPeerMessage, inNow);
             },
@@ -348,7 +348,7 @@
     const auto *bytes = reinterpret_cast<const std::uint8_t *>(inBody.data());
     flatbuffers::Verifier verifier(bytes, inBody.size());
     if (wire::VerifyEnvelopeBuffer(verifier)) {
-        decoded message = decodeBody(*wire::GetEnvelope(bytes), inNow);
+        decode_result message = decodeBody(*wire::GetEnvelope(bytes), inNow);
         if (message)
             return std::move(*message);
     }
--- a/corneltally/entry/peers_service.cpp
+++ b/corneltally/entry/peers_service.cpp
@@ -23,7 +23,7 @@
 /// them as down. It covers the silence limit and one more attempt to connect.
 constexpr core::duration cViewHold = membership::peer_table::cDownAfter + 500ms;
 
-std::string joinNames(const std::vector<std::string> &inNames)
+std::string joinAsJson(const std::vector<std::string> &inNames)
 {
     std::string text;
     for (const std::string &name : inNames)
@@ -31,7 +31,7 @@
     return text;
 }
 
-std::string listNames(const std::vector<std::string> &inNames)
+std::string joinWithSpaces(const std::vector<std::string> &inNames)
 {
     std::string text;
     for (const std::string &name : inNames)
@@ -40,7 +40,7 @@
 }
 
 /// Tells the origin of a run that its answer does not fit into a frame.
-peer_message tooLongEnd(const run_event &inEvent)
+peer_message makeTooLongEnd(const run_event &inEvent)
 {
     return run_event{inEvent.requestId,
                      run_end{.outcome = run_outcome::unknown,
@@ -66,7 +66,7 @@
         name(), [this](const catalog_changed &inChange) { applyCatalog(inChange); });
     mRegistry.handle<paused>(name(), [this](const paused &) {
         // Silence during the own pause says nothing about the peers.
-        mViewHold = core::boot_clock::now() + cViewHold;
+        mViewHoldUntil = core::boot_clock::now() + cViewHold;
     });
     mRegistry.handle<drain_started>(name(), [this](const drain_started &) {
         mTable.startDrain();
@@ -117,8 +117,8 @@
     }
     mRemotes = std::move(remotes);
     mTable.setInstances(names);
-    if (!mViewHold)
-        mViewHold = core::boot_clock::now() + cViewHold;
+    if (!mViewHoldUntil)
+        mViewHoldUntil = core::boot_clock::now() + cViewHold;
 }
 
 void peers_service::tick()
@@ -138,7 +138,7 @@
 void peers_service::sendHeartbeats(core::time_point inNow)
 {
     for (const auto &[id, link] : mLinks) {
-        if (!link.greeted)
+        if (!link.helloSent)
             continue;
         const auto known = mTable.entries().find(link.instance);
         const std::uint64_t receiver
@@ -187,7 +187,7 @@
 {
     remote &target = mRemotes.find(inInstance)->second;
     const auto healthy = [&](const link &inLink) {
-        return inLink.greeted && inLink.instance == inInstance && inLink.incarnation != 0
+        return inLink.helloSent && inLink.instance == inInstance && inLink.incarnation != 0
             && inNow - inLink.connection->lastProgress() < membership::peer_table::cSuspectAfter;
     };
     const auto current = mLinks.find(target.active);
@@ -206,17 +206,18 @@
 
 void peers_service::publishView(core::time_point inNow)
 {
-    if (!mViewHold)
+    if (!mViewHoldUntil)
         return;
     const membership::peer_table::view view = mTable.viewAt(inNow);
     const bool complete = view.live.size() + view.draining.size() >= mRemotes.size() + 1;
-    if (inNow < *mViewHold && !complete && !mTable.isDraining())
+    if (inNow < *mViewHoldUntil && !complete && !mTable.isDraining())
         return;
     peers_changed change{.live = view.live, .draining = view.draining};
     if (mPublished == change)
         return;
-    core::logEvent(core::log_level::info, "peers_changed",
-                   {{"live", listNames(change.live)}, {"draining", listNames(change.draining)}});
+    core::logEvent(
+        core::log_level::info, "peers_changed",
+        {{"live", joinWithSpaces(change.live)}, {"draining", joinWithSpaces(change.draining)}});
     mPublished = change;
     mRegistry.broadcast(change);
 }
@@ -232,8 +233,8 @@
         {.onFrame = [this, id](std::string_view inBody) { receiveFrame(id, inBody); },
          .onClosed = [this, id](std::string_view inReason) { closeLink(id, inReason); }});
     if (added.dialed) {
-        added.connection->send(helloFor(added.instance));
-        added.greeted = true;
+        added.connection->send(encodeHello(added.instance));
+        added.helloSent = true;
     }
 }
 
@@ -295,8 +296,8 @@
     if (outcome == membership::heard_outcome::outdated
         || outcome == membership::heard_outcome::ignored)
         return;
-    if (const auto *beat = std::get_if<peer_heartbeat>(&message.value())) {
-        receiveHeartbeat(source, *beat);
+    if (const auto *heartbeat = std::get_if<peer_heartbeat>(&message.value())) {
+        receiveHeartbeat(source, *heartbeat);
     } else if (std::holds_alternative<peer_drain_notice>(message.value())) {
         mTable.heard(instance, source.incarnation, true, now);
         publishView(now);
@@ -323,10 +324,10 @@
         return;
     }
     source.instance = inHello.instance;
-    if (!source.greeted) {
+    if (!source.helloSent) {
         // Also tells an outdated process which incarnation replaced it.
-        source.connection->send(helloFor(source.instance));
-        source.greeted = true;
+        source.connection->send(encodeHello(source.instance));
+        source.helloSent = true;
     }
     if (outcome == membership::heard_outcome::outdated) {
         source.refused = true;
@@ -345,12 +346,12 @@
     publishView(now);
 }
 
-void peers_service::receiveHeartbeat(const link &inLink, const peer_heartbeat &inBeat)
+void peers_service::receiveHeartbeat(const link &inLink, const peer_heartbeat &inHeartbeat)
 {
-    checkSuperseded(inBeat.receiverIncarnation);
+    checkSuperseded(inHeartbeat.receiverIncarnation);
     const core::time_point now = core::boot_clock::now();
-    mTable.heard(inLink.instance, inLink.incarnation, inBeat.draining, now);
-    mRegistry.broadcast(peer_version{inLink.instance, inBeat.settingsVersion});
+    mTable.heard(inLink.instance, inLink.incarnation, inHeartbeat.draining, now);
+    mRegistry.broadcast(peer_version{inLink.instance, inHeartbeat.settingsVersion});
     publishView(now);
 }
 
@@ -388,7 +389,7 @@
     if (body.size() <= peer::cMaxFrameBytes)
         reportLost(inSend.instance);
     else if (const auto *event = std::get_if<run_event>(&inSend.message))
-        sendTo(inSend.instance, encodePeerFrame(tooLongEnd(*event), core::boot_clock::now()));
+        sendTo(inSend.instance, encodePeerFrame(makeTooLongEnd(*event), core::boot_clock::now()));
 }
 
 bool peers_service::sendTo(const std::string &inInstance, std::string_view inBody)
@@ -413,7 +414,7 @@
     mRegistry.broadcast(peer_lost{inInstance});
 }
 
-std::string peers_service::helloFor(const std::string &inInstance) const
+std::string peers_service::encodeHello(const std::string &inInstance) const
 {
     const auto known = mTable.entries().find(inInstance);
     const std::uint64_t receiver = known == mTable.entries().end() ? 0 : known->second.incarnation;
@@ -426,8 +427,8 @@
     const core::time_point now = core::boot_clock::now();
     const membership::peer_table::view view = mTable.viewAt(now);
     std::string text = "{\"incarnation\":" + std::to_string(mOptions.incarnation);
-    text.append(",\"live\":[").append(joinNames(view.live));
-    text.append("],\"draining\":[").append(joinNames(view.draining)).append("],\"links\":[");
+    text.append(",\"live\":[").append(joinAsJson(view.live));
+    text.append("],\"draining\":[").append(joinAsJson(view.draining)).append("],\"links\":[");
     bool first = true;
     for (const auto &[id, link] : mLinks) {
         const auto silent = now - link.connection->lastProgress();
--- a/corneltally/entry/peers_service.h
+++ b/corneltally/entry/peers_service.h
@@ -60,7 +60,7 @@
         std::string instance;
         std::uint64_t incarnation = 0;
         bool dialed = false;
-        bool greeted = false;
+        bool helloSent = false;
         /// From an older process of the instance: it only learns which one replaced it.
         bool refused = false;
     };
@@ -86,7 +86,7 @@
 
     void receiveFrame(link_id inLink, std::string_view inBody);
     void receiveHello(link_id inLink, const peer_hello &inHello);
-    void receiveHeartbeat(const link &inLink, const peer_heartbeat &inBeat);
+    void receiveHeartbeat(const link &inLink, const peer_heartbeat &inHeartbeat);
     void receiveMessage(const std::string &inInstance, const peer_message &inMessage);
     void checkSuperseded(std::uint64_t inIncarnation);
 
@@ -94,7 +94,7 @@
     bool sendTo(const std::string &inInstance, std::string_view inBody);
     void reportLost(const std::string &inInstance);
     void applyCatalog(const catalog_changed &inChange);
-    std::string helloFor(const std::string &inInstance) const;
+    std::string encodeHello(const std::string &inInstance) const;
 
     kernel::service_registry &mRegistry;
     peers_options mOptions;
@@ -107,7 +107,7 @@
     std::uint64_t mSettingsVersion = 0;
     core::time_point mLastHeartbeat;
     /// No view is published before this time, so that peers can connect first.
-    std::optional<core::time_point> mViewHold;
+    std::optional<core::time_point> mViewHoldUntil;
     std::optional<peers_changed> mPublished;
     bool mSupersededReported = false;
 };
