--- a/corneltally/entry/instance_list_service.cpp
+++ b/corneltally/entry/instance_list_service.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// The platform's list lags by itself; work for a leaving endpoint has to end within 3 s.
-constexpr core::duration cPeriod = std::chrono::milliseconds(500);
+constexpr core::duration cPollPeriod = std::chrono::milliseconds(500);
 
 } // namespace
 
@@ -28,12 +28,12 @@
 void instance_list_service::poll()
 {
     mClient.readLeaving([this](const auto &inLeaving) {
-        take(inLeaving);
-        mTimer.startOnce(cPeriod);
+        handleList(inLeaving);
+        mTimer.startOnce(cPollPeriod);
     });
 }
 
-void instance_list_service::take(
+void instance_list_service::handleList(
     const core::result<platform::instance_list_client::name_set> &inLeaving)
 {
     mReadable = inLeaving.hasValue();
--- a/corneltally/entry/instance_list_service.h
+++ b/corneltally/entry/instance_list_service.h
@@ -27,7 +27,7 @@
 
 private:
     void poll();
-    void take(const core::result<platform::instance_list_client::name_set> &inLeaving);
+    void handleList(const core::result<platform::instance_list_client::name_set> &inLeaving);
 
     kernel::service_registry &mRegistry;
     platform::instance_list_client mClient;
--- a/corneltally/entry/settings_publisher.h
+++ b/corneltally/entry/settings_publisher.h
@@ -57,14 +57,14 @@
     std::optional<publish_result> findVerdict(const std::string &inId) const;
 
 private:
-    void readOn();
+    void readNextPage();
     void receivePage(const platform::read_result &inResult);
     void append();
     void receiveAppend(const platform::append_result &inResult);
-    void decide();
+    void advance();
     void finish(const publish_result &inResult);
-    void later(std::function<void()> inStep);
-    bool isLate() const { return core::boot_clock::now() >= mDeadline; }
+    void runLater(std::function<void()> inStep);
+    bool isTimedOut() const { return core::boot_clock::now() >= mDeadline; }
 
     Log &mLog;
     core::duration mTimeLimit;
@@ -79,7 +79,7 @@
     std::string mId;
     std::string mRecord;
     bool mMayBeOnLog = false;
-    std::optional<std::uint64_t> mAppendedAt;
+    std::optional<std::uint64_t> mAppendedOffset;
     core::time_point mDeadline;
     std::function<void()> mNextStep;
     kernel::timer mDelay;
@@ -101,7 +101,7 @@
 {
     mLoaded = std::move(inHandler);
     mDeadline = core::boot_clock::now() + mTimeLimit;
-    readOn();
+    readNextPage();
 }
 
 template <platform::log_service Log>
@@ -113,9 +113,9 @@
     mId = inChange.id;
     mRecord = inChange.toJson();
     mMayBeOnLog = false;
-    mAppendedAt.reset();
+    mAppendedOffset.reset();
     if (const auto verdict = findVerdict(mId))
-        later([this, result = *verdict] { finish(result); });
+        runLater([this, result = *verdict] { finish(result); });
     else
         append();
 }
@@ -138,23 +138,23 @@
 void settings_publisher<Log>::receiveAppend(const platform::append_result &inResult)
 {
     if (inResult.outcome == platform::append_outcome::appended)
-        mAppendedAt = inResult.offset;
+        mAppendedOffset = inResult.offset;
     else
         mLastFailure = inResult.reason;
     if (inResult.outcome != platform::append_outcome::refused)
         mMayBeOnLog = true;
     else if (!mMayBeOnLog) {
-        if (isLate())
+        if (isTimedOut())
             finish({publish_outcome::not_published, 0, mLastFailure});
         else
-            later([this] { append(); });
+            runLater([this] { append(); });
         return;
     }
-    readOn();
+    readNextPage();
 }
 
 template <platform::log_service Log>
-void settings_publisher<Log>::readOn()
+void settings_publisher<Log>::readNextPage()
 {
     mLog.read({.stream = "settings", .from = mReadFrom},
               [this](const platform::read_result &inResult) { receivePage(inResult); });
@@ -167,16 +167,16 @@
         || (inResult.outcome == platform::read_outcome::expired && inResult.first <= mReadFrom)) {
         mLastFailure = inResult.reason;
         mAtEnd = false;
-        if (isLate())
-            decide();
+        if (isTimedOut())
+            advance();
         else
-            later([this] { readOn(); });
+            runLater([this] { readNextPage(); });
         return;
     }
     mReplica.noteLogStart(inResult.first, 0);
     if (inResult.outcome == platform::read_outcome::expired) {
         mReadFrom = inResult.first;
-        readOn();
+        readNextPage();
         return;
     }
     for (const platform::log_record &record : inResult.records) {
@@ -193,13 +193,13 @@
     }
     mAtEnd = mReadFrom >= inResult.next || inResult.records.empty();
     if (mAtEnd)
-        decide();
+        advance();
     else
-        readOn();
+        readNextPage();
 }
 
 template <platform::log_service Log>
-void settings_publisher<Log>::decide()
+void settings_publisher<Log>::advance()
 {
     if (mLoaded) {
         std::optional<core::error> reason;
@@ -215,14 +215,14 @@
     }
     if (const auto verdict = findVerdict(mId)) {
         finish(*verdict);
-    } else if (isLate()) {
-        finish({publish_outcome::unknown, mAppendedAt.value_or(0), mLastFailure});
-    } else if (mAppendedAt) {
-        later([this] { readOn(); });
+    } else if (isTimedOut()) {
+        finish({publish_outcome::unknown, mAppendedOffset.value_or(0), mLastFailure});
+    } else if (mAppendedOffset) {
+        runLater([this] { readNextPage(); });
     } else {
         // The end of the log was read after the append ended, and the change is not there. A copy
         // that arrives even later is rejected by its id and its base.
-        later([this] { append(); });
+        runLater([this] { append(); });
     }
 }
 
@@ -234,12 +234,12 @@
 }
 
 template <platform::log_service Log>
-void settings_publisher<Log>::later(std::function<void()> inStep)
+void settings_publisher<Log>::runLater(std::function<void()> inStep)
 {
     // Spreads the calls of an operator's command over an outage of the log.
-    constexpr core::duration cDelay = std::chrono::milliseconds(200);
+    constexpr core::duration cRetryDelay = std::chrono::milliseconds(200);
     mNextStep = std::move(inStep);
-    mDelay.startOnce(cDelay);
+    mDelay.startOnce(cRetryDelay);
 }
 
 } // namespace corneltally::entry
--- a/corneltally/entry/settings_sync_service.h
+++ b/corneltally/entry/settings_sync_service.h
@@ -51,11 +51,11 @@
     void receiveRequest(const peer_received<settings_request> &inRequest);
     void receiveRecords(const peer_received<settings_records> &inRecords);
     void receiveSnapshot(const peer_received<settings_snapshot> &inSnapshot);
-    void forward(const std::vector<platform::log_record> &inRecords, std::uint64_t inFrom);
-    void askPeer(const std::string &inInstance);
-    void report(const verdicts &inVerdicts);
+    void forwardToPeers(const std::vector<platform::log_record> &inRecords, std::uint64_t inFrom);
+    void requestRecords(const std::string &inInstance);
+    void recordVerdicts(const verdicts &inVerdicts);
     void publish();
-    void announce();
+    void broadcastCatalog();
     void confirm(core::time_point inAt);
     void checkSnapshot();
     void appendSnapshot();
@@ -79,7 +79,7 @@
     std::vector<std::string> mLive;
     std::set<std::string, std::less<>> mLeaving;
     std::vector<std::string> mSnapshotParts;
-    std::optional<core::time_point> mSnapshotHold;
+    std::optional<core::time_point> mNextSnapshot;
     std::uint64_t mAccepted = 0;
     std::uint64_t mRejected = 0;
     std::string mLastRejection;
@@ -97,12 +97,12 @@
 /// Bytes of records in one message to a peer, well below the limit of a frame.
 constexpr std::size_t cMaxMessageBytes = 512 * 1024;
 /// A log confirmation that is older than this is not passed on to peers.
-constexpr core::duration cPassOnAge = std::chrono::seconds(2);
+constexpr core::duration cMaxForwardAge = std::chrono::seconds(2);
 /// Greatest age of what a peer confirms: its own confirmation plus the time on a connection, which
 /// is closed after 2 s of silence.
-constexpr core::duration cPeerConfirmationAge = std::chrono::seconds(4);
+constexpr core::duration cMaxPeerConfirmationAge = std::chrono::seconds(4);
 /// Time for a snapshot to come back from the log before another one may be written.
-constexpr core::duration cSnapshotHold = std::chrono::seconds(30);
+constexpr core::duration cMinSnapshotInterval = std::chrono::seconds(30);
 
 } // namespace settings_sync_detail
 
@@ -116,7 +116,7 @@
     , mRetryDelay(mOptions.minRetryDelay)
     , mRandom(std::random_device()())
     , mRetryTimer(inRegistry.loop(), [this] { readLog(); })
-    , mPeerTimer(inRegistry.loop(), [this] { askPeer(""); })
+    , mPeerTimer(inRegistry.loop(), [this] { requestRecords(""); })
     , mSnapshotTimer(inRegistry.loop(), [this] { checkSnapshot(); })
 {
     mRegistry.handle<peer_received<settings_request>>(
@@ -126,14 +126,14 @@
     mRegistry.handle<peer_received<settings_snapshot>>(
         name(), [this](const auto &inSnapshot) { receiveSnapshot(inSnapshot); });
     mRegistry.handle<peer_connected>(
-        name(), [this](const peer_connected &inPeer) { askPeer(inPeer.instance); });
+        name(), [this](const peer_connected &inPeer) { requestRecords(inPeer.instance); });
     mRegistry.handle<peer_version>(name(), [this](const peer_version &inPeer) {
         if (inPeer.version > mReplica.tree().version())
-            askPeer(inPeer.instance);
+            requestRecords(inPeer.instance);
     });
     mRegistry.handle<endpoints_leaving>(name(), [this](const endpoints_leaving &inLeaving) {
         mLeaving = inLeaving.names;
-        announce();
+        broadcastCatalog();
     });
     mRegistry.handle<peers_changed>(
         name(), [this](const peers_changed &inChange) { mLive = inChange.live; });
@@ -198,15 +198,15 @@
 {
     const std::uint64_t known = mReplica.nextOffset();
     for (const platform::log_record &record : inResult.records) {
-        report(mReplica.addLogRecord(record.offset, record.data, record.timeMs));
+        recordVerdicts(mReplica.addLogRecord(record.offset, record.data, record.timeMs));
         mReadFrom = std::max(mReadFrom, record.offset + 1);
     }
-    forward(inResult.records, known);
+    forwardToPeers(inResult.records, known);
     if (mReadFrom < inResult.next)
         return;
     mLogEndSeen = true;
     if (mReplica.hasGap()) {
-        askPeer("");
+        requestRecords("");
         return;
     }
     publish();
@@ -250,7 +250,7 @@
     for (const auto &record : *records)
         answer.records.push_back({record.offset, record.data});
     const bool isConfirmed = mLogConfirmed
-        && core::boot_clock::now() - *mLogConfirmed <= settings_sync_detail::cPassOnAge;
+        && core::boot_clock::now() - *mLogConfirmed <= settings_sync_detail::cMaxForwardAge;
     // An answer without records says that the peer has what the log has.
     if (!answer.records.empty() || isConfirmed)
         mRegistry.post("peers", peer_send{inRequest.instance, answer});
@@ -260,21 +260,21 @@
 void settings_sync_service<Log>::receiveRecords(const peer_received<settings_records> &inRecords)
 {
     for (const settings_record &record : inRecords.message.records)
-        report(mReplica.addPeerRecord(record.offset, record.data));
+        recordVerdicts(mReplica.addPeerRecord(record.offset, record.data));
     if (mReplica.hasGap()) {
-        askPeer(inRecords.instance);
+        requestRecords(inRecords.instance);
         return;
     }
     publish();
     if (inRecords.message.records.empty())
-        confirm(core::boot_clock::now() - settings_sync_detail::cPeerConfirmationAge);
+        confirm(core::boot_clock::now() - settings_sync_detail::cMaxPeerConfirmationAge);
 }
 
 template <platform::log_service Log>
 void settings_sync_service<Log>::receiveSnapshot(const peer_received<settings_snapshot> &inSnapshot)
 {
     const std::uint64_t before = mReplica.nextOffset();
-    report(mReplica.addPeerSnapshot(inSnapshot.message.tree));
+    recordVerdicts(mReplica.addPeerSnapshot(inSnapshot.message.tree));
     if (mReplica.nextOffset() == before)
         return;
     core::logEvent(core::log_level::info, "settings_adopted_from_peer",
@@ -287,8 +287,8 @@
 }
 
 template <platform::log_service Log>
-void settings_sync_service<Log>::forward(const std::vector<platform::log_record> &inRecords,
-                                         std::uint64_t inFrom)
+void settings_sync_service<Log>::forwardToPeers(const std::vector<platform::log_record> &inRecords,
+                                                std::uint64_t inFrom)
 {
     // While the history is read at the start, peers know it already.
     if (!mLogEndSeen)
@@ -304,9 +304,10 @@
     for (const platform::log_record &record : inRecords) {
         if (record.offset < inFrom)
             continue;
-        const bool isLong = settings::snapshot_part::sIsSnapshot(record.data);
+        const bool isSnapshot = settings::snapshot_part::sIsSnapshot(record.data);
         message.records.push_back(
-            {record.offset, isLong ? std::string(settings::cSnapshotPlaceholder) : record.data});
+            {record.offset,
+             isSnapshot ? std::string(settings::cSnapshotPlaceholder) : record.data});
         bytes += message.records.back().data.size();
         if (bytes >= settings_sync_detail::cMaxMessageBytes / 2)
             send();
@@ -315,14 +316,14 @@
 }
 
 template <platform::log_service Log>
-void settings_sync_service<Log>::askPeer(const std::string &inInstance)
+void settings_sync_service<Log>::requestRecords(const std::string &inInstance)
 {
     const std::uint64_t next = mReplica.nextOffset();
     mRegistry.post("peers", peer_send{inInstance, settings_request{next == 0 ? 0 : next - 1}});
 }
 
 template <platform::log_service Log>
-void settings_sync_service<Log>::report(const verdicts &inVerdicts)
+void settings_sync_service<Log>::recordVerdicts(const verdicts &inVerdicts)
 {
     for (const settings::record_verdict &verdict : inVerdicts) {
         if (verdict.outcome == settings::record_outcome::snapshot)
@@ -354,11 +355,11 @@
     core::logEvent(core::log_level::info, "settings_in_force", {{"version", tree.version()}});
     mCatalog = std::make_shared<const settings::catalog>(tree, mOptions.endpointAddresses,
                                                          mCatalog.get());
-    announce();
+    broadcastCatalog();
 }
 
 template <platform::log_service Log>
-void settings_sync_service<Log>::announce()
+void settings_sync_service<Log>::broadcastCatalog()
 {
     if (!mCatalog)
         return;
@@ -382,10 +383,10 @@
 {
     const core::time_point now = core::boot_clock::now();
     if (!mLogReachable || !mLogEndSeen || !mSnapshotParts.empty()
-        || (mSnapshotHold && now < *mSnapshotHold)
+        || (mNextSnapshot && now < *mNextSnapshot)
         || !mReplica.snapshotDue(sWallClockMs(), snapshotRank()))
         return;
-    mSnapshotHold = now + settings_sync_detail::cSnapshotHold;
+    mNextSnapshot = now + settings_sync_detail::cMinSnapshotInterval;
     mSnapshotParts = mReplica.snapshotRecords();
     // The last part is appended first; the order does not matter to readers.
     appendSnapshot();
