--- a/tests/unit/entry_peers_test.cpp
+++ b/tests/unit/entry_peers_test.cpp
@@ -185,22 +185,22 @@
 TEST_CASE("a connection that sends an invalid frame or no hello is closed")
 {
     fixture test;
-    const auto garbled = test.dial();
-    garbled->send(peer_hello{"entry-2", 500, 0});
-    garbled->connection->send("not a frame");
-    const auto impolite = test.dial();
-    impolite->send(peer_message(settings_request{1}));
-    REQUIRE(test.waitFor([&] { return garbled->closed && impolite->closed; }));
+    const auto invalidFrame = test.dial();
+    invalidFrame->send(peer_hello{"entry-2", 500, 0});
+    invalidFrame->connection->send("not a frame");
+    const auto withoutHello = test.dial();
+    withoutHello->send(peer_message(settings_request{1}));
+    REQUIRE(test.waitFor([&] { return invalidFrame->closed && withoutHello->closed; }));
     CHECK(test.requests.empty());
 }
 
 TEST_CASE("messages of an instance that the tree does not name are ignored")
 {
     fixture test;
-    const auto stranger = test.dial();
-    stranger->send(peer_hello{"entry-9", 500, 0});
-    stranger->send(peer_message(settings_request{1}));
-    REQUIRE(test.waitFor([&] { return stranger->closed; }));
+    const auto unnamed = test.dial();
+    unnamed->send(peer_hello{"entry-9", 500, 0});
+    unnamed->send(peer_message(settings_request{1}));
+    REQUIRE(test.waitFor([&] { return unnamed->closed; }));
     CHECK(test.requests.empty());
 }
 
--- a/tests/unit/ownership_mock_engine.h
+++ b/tests/unit/ownership_mock_engine.h
@@ -33,7 +33,7 @@
     int unloadsInUse = 0;
     int staleRefusals = 0;
 
-    bool passes(std::uint64_t inFence)
+    bool acceptsFence(std::uint64_t inFence)
     {
         if (!checksFence)
             return true;
@@ -45,7 +45,7 @@
         return true;
     }
 
-    int usesOf(const std::string &inAdapter) const
+    int runningCount(const std::string &inAdapter) const
     {
         return static_cast<int>(std::ranges::count_if(streams, [&](const auto &inEntry) {
             return inEntry.second.running && inEntry.second.adapter == inAdapter;
@@ -86,10 +86,10 @@
     {
         runs.push_back(inRun);
         const std::uint64_t id = mNextId++;
-        const std::string adapter = modelOf(inRun.body);
+        const std::string adapter = adapterOf(inRun.body);
         add({id, "run", inRun.requestId, inRun.fence,
              [this, inRun, adapter, inEvents]() -> std::function<void()> {
-                 if (!mEndpoint.passes(inRun.fence))
+                 if (!mEndpoint.acceptsFence(inRun.fence))
                      return refusal(inEvents, endpoint::engine_outcome::stale_fence);
                  if (!mEndpoint.resident.contains(adapter))
                      return refusal(inEvents, endpoint::engine_outcome::not_resident);
@@ -182,10 +182,10 @@
     {
         add({mNextId++, "register_fence", "", inFence,
              [this, inFence, inHandler]() -> std::function<void()> {
-                 const bool passes = mEndpoint.passes(inFence);
-                 return [passes, inFence, inHandler] {
-                     inHandler({passes ? endpoint::engine_outcome::completed
-                                       : endpoint::engine_outcome::stale_fence,
+                 const bool accepted = mEndpoint.acceptsFence(inFence);
+                 return [accepted, inFence, inHandler] {
+                     inHandler({accepted ? endpoint::engine_outcome::completed
+                                         : endpoint::engine_outcome::stale_fence,
                                 inFence, ""});
                  };
              },
@@ -206,7 +206,7 @@
                  for (const std::string &name : mEndpoint.resident) {
                      const std::size_t at = name.find('@');
                      state.resident.push_back(
-                         {name.substr(0, at), name.substr(at + 1), mEndpoint.usesOf(name)});
+                         {name.substr(0, at), name.substr(at + 1), mEndpoint.runningCount(name)});
                  }
                  return [state, inHandler] { inHandler(state); };
              },
@@ -291,7 +291,7 @@
     }
 
 private:
-    static std::string modelOf(const std::string &inBody) { return inBody; }
+    static std::string adapterOf(const std::string &inBody) { return inBody; }
 
     static std::function<void()> refusal(const endpoint::engine_run_events &inEvents,
                                          endpoint::engine_outcome inOutcome)
@@ -305,7 +305,7 @@
         add({mNextId++, inKind, inAdapter, inFence,
              [this, inKind, inAdapter, inFence, inHandler]() -> std::function<void()> {
                  endpoint::engine_outcome outcome = endpoint::engine_outcome::completed;
-                 if (!mEndpoint.passes(inFence))
+                 if (!mEndpoint.acceptsFence(inFence))
                      outcome = endpoint::engine_outcome::stale_fence;
                  else if (inKind == "load" && mEndpoint.resident.size() >= mEndpoint.slots)
                      outcome = endpoint::engine_outcome::refused;
@@ -324,7 +324,7 @@
 
     void unloadNow(const std::string &inAdapter)
     {
-        mEndpoint.unloadsInUse += mEndpoint.usesOf(inAdapter) > 0 ? 1 : 0;
+        mEndpoint.unloadsInUse += mEndpoint.runningCount(inAdapter) > 0 ? 1 : 0;
         mEndpoint.resident.erase(inAdapter);
     }
 
--- a/tests/unit/ownership_owned_endpoint_test.cpp
+++ b/tests/unit/ownership_owned_endpoint_test.cpp
@@ -23,9 +23,9 @@
     mock_engine engine;
     owned_endpoint<mock_engine> owner;
     std::vector<run_event> events;
-    std::vector<resident_adapter> asked;
-    int permitsOut = 0;
-    bool grantsLoads = true;
+    std::vector<resident_adapter> requestedLoads;
+    int outstandingPermits = 0;
+    bool admitsLoads = true;
 
     owner_fixture(mock_endpoint &inEndpoint, core::time_point &ioNow, std::uint64_t inSlot = 1,
                   std::size_t inMaxQueued = 100)
@@ -54,21 +54,22 @@
                 .accountWeight = [](const std::string &) { return 1.0; },
                 .admitLoad =
                     [this](const std::string &inAdapter, const std::string &inVersion) {
-                        asked.push_back({inAdapter, inVersion});
+                        requestedLoads.push_back({inAdapter, inVersion});
                     },
-                .loadDone = [this](const std::string &, const std::string &) { --permitsOut; }};
+                .loadDone
+                = [this](const std::string &, const std::string &) { --outstandingPermits; }};
     }
 
     void answerPermits()
     {
-        for (const resident_adapter &entry : std::exchange(asked, {})) {
-            permitsOut += grantsLoads ? 1 : 0;
-            owner.loadAdmitted({"engine", entry.adapter, entry.version, grantsLoads, 500ms});
+        for (const resident_adapter &entry : std::exchange(requestedLoads, {})) {
+            outstandingPermits += admitsLoads ? 1 : 0;
+            owner.loadAdmitted({"engine", entry.adapter, entry.version, admitsLoads, 500ms});
         }
     }
 
     /// Lets everything that is under way take effect, for some time.
-    void settle(core::duration inTime = 1s)
+    void runFor(core::duration inTime = 1s)
     {
         for (const core::time_point end = now + inTime; now < end; now += 50ms) {
             owner.tick();
@@ -77,7 +78,7 @@
         }
     }
 
-    run_submit runOf(const std::string &inId, const std::string &inAdapter, bool inStream = true)
+    run_submit makeRun(const std::string &inId, const std::string &inAdapter, bool inStream = true)
     {
         run_submit submitted;
         submitted.endpoint = "engine";
@@ -96,7 +97,7 @@
 
     void submit(const std::string &inId, const std::string &inAdapter, bool inStream = true)
     {
-        owner.submit(runOf(inId, inAdapter, inStream));
+        owner.submit(makeRun(inId, inAdapter, inStream));
     }
 
     const run_end *endOf(const std::string &inId) const
@@ -144,7 +145,7 @@
     REQUIRE(owner.endOf("early") != nullptr);
     CHECK(owner.endOf("early")->outcome == run_outcome::not_run);
     CHECK_FALSE(owner.owner.status().has_value());
-    owner.settle();
+    owner.runFor();
     REQUIRE(owner.owner.status().has_value());
     CHECK(owner.owner.status()->accepting);
     CHECK(owner.owner.status()->fence == 1025);
@@ -156,7 +157,7 @@
 {
     single_owner test({"a@1"});
     owner_fixture &owner = test.fixture;
-    owner.settle();
+    owner.runFor();
     owner.submit("r", "a");
     REQUIRE(owner.engine.runs.size() == 1);
     CHECK(owner.engine.runs[0].fence == 1025);
@@ -175,31 +176,31 @@
 {
     single_owner test;
     owner_fixture &owner = test.fixture;
-    owner.settle();
+    owner.runFor();
     owner.submit("r", "a");
-    CHECK(owner.asked.size() == 1);
+    CHECK(owner.requestedLoads.size() == 1);
     CHECK_FALSE(owner.engine.has("load"));
     owner.answerPermits();
     CHECK(owner.engine.has("load"));
     owner.engine.deliverAll();
     CHECK(test.endpoint.resident.contains("a@1"));
     CHECK(test.endpoint.starts["r"] == 1);
-    CHECK(owner.permitsOut == 0);
+    CHECK(owner.outstandingPermits == 0);
 }
 
 TEST_CASE("a refused admission delays the load")
 {
     single_owner test;
     owner_fixture &owner = test.fixture;
-    owner.settle();
-    owner.grantsLoads = false;
+    owner.runFor();
+    owner.admitsLoads = false;
     owner.submit("r", "a");
     owner.answerPermits();
     owner.owner.tick();
-    CHECK(owner.asked.empty());
+    CHECK(owner.requestedLoads.empty());
     test.now += 500ms;
     owner.owner.tick();
-    CHECK(owner.asked.size() == 1);
+    CHECK(owner.requestedLoads.size() == 1);
 }
 
 TEST_CASE("an adapter that an earlier owner's run uses is unloaded only after that run")
@@ -208,12 +209,12 @@
     owner_fixture &owner = test.fixture;
     test.endpoint.streams["foreign"] = {"a@1", 0, 4, true};
     test.endpoint.streams["foreign too"] = {"b@1", 0, 4, true};
-    owner.settle();
+    owner.runFor();
     owner.submit("r", "c");
-    owner.settle(5s);
+    owner.runFor(5s);
     CHECK(test.endpoint.resident == std::set<std::string>{"a@1", "b@1"});
     test.endpoint.streams["foreign"].running = false;
-    owner.settle(5s);
+    owner.runFor(5s);
     CHECK(test.endpoint.resident == std::set<std::string>{"b@1", "c@1"});
     CHECK(test.endpoint.unloadsInUse == 0);
     CHECK(test.endpoint.starts["r"] == 1);
@@ -224,11 +225,11 @@
     single_owner test({"a@1", "b@1"});
     owner_fixture &owner = test.fixture;
     owner.engine.reportAge = 10s;
-    owner.settle();
+    owner.runFor();
     owner.submit("r", "c");
-    owner.settle(5s);
+    owner.runFor(5s);
     CHECK(test.endpoint.resident == std::set<std::string>{"a@1", "b@1"});
-    owner.settle(10s);
+    owner.runFor(10s);
     CHECK(test.endpoint.resident.contains("c@1"));
 }
 
@@ -236,7 +237,7 @@
 {
     single_owner test({"a@1"});
     owner_fixture &owner = test.fixture;
-    owner.settle();
+    owner.runFor();
     test.endpoint.highest = 5000;
     owner.submit("r", "a");
     owner.engine.deliverAll();
@@ -245,7 +246,7 @@
     CHECK_FALSE(owner.owner.isOwning());
     CHECK(test.endpoint.starts.empty());
     // The rule still names this instance, so that it tries again with a greater number.
-    owner.settle(2s);
+    owner.runFor(2s);
     CHECK(owner.owner.isOwning());
     CHECK(test.endpoint.highest > 5000);
 }
@@ -254,7 +255,7 @@
 {
     single_owner test({"a@1"});
     owner_fixture &owner = test.fixture;
-    owner.settle();
+    owner.runFor();
     test.endpoint.resident.clear();
     owner.submit("r", "a");
     owner.engine.deliverKind("run");
@@ -267,7 +268,7 @@
 {
     single_owner test({"a@1"});
     owner_fixture &owner = test.fixture;
-    owner.settle();
+    owner.runFor();
     owner.submit("r", "a");
     owner.engine.deliverAll();
     owner.engine.advance("r", false);
@@ -292,7 +293,7 @@
 {
     single_owner test({"a@1", "b@1"});
     owner_fixture &owner = test.fixture;
-    owner.settle(3s);
+    owner.runFor(3s);
     owner.submit("r", "a", false);
     const auto onItsWay = owner.engine.interrupt(0);
     REQUIRE(onItsWay.kind == "run");
@@ -302,11 +303,11 @@
     owner.submit("s", "c");
     owner.submit("t", "d");
     CHECK_FALSE(owner.engine.has("unload"));
-    owner.settle(3s);
+    owner.runFor(3s);
     CHECK(test.endpoint.highest > 1025);
     const auto reply = onItsWay.perform();
     CHECK(test.endpoint.starts["r"] == 0);
-    owner.settle(5s);
+    owner.runFor(5s);
     CHECK(test.endpoint.unloadsInUse == 0);
     CHECK(test.endpoint.starts["s"] == 1);
     CHECK(test.endpoint.starts["t"] == 1);
@@ -316,7 +317,7 @@
 {
     single_owner test({"a@1", "b@1"});
     owner_fixture &owner = test.fixture;
-    owner.settle(3s);
+    owner.runFor(3s);
     owner.submit("s", "c");
     owner.answerPermits();
     REQUIRE(owner.engine.has("unload"));
@@ -331,7 +332,7 @@
     const std::string adapter = unload->subject.substr(0, 1);
     owner.submit("r", adapter);
     CHECK_FALSE(owner.engine.has("run"));
-    owner.settle(1s);
+    owner.runFor(1s);
     CHECK(test.endpoint.starts["r"] == 1);
     unload->perform();
     CHECK(test.endpoint.unloadsInUse == 0);
@@ -342,7 +343,7 @@
 {
     single_owner test({"a@1", "b@1"});
     owner_fixture &owner = test.fixture;
-    owner.settle(3s);
+    owner.runFor(3s);
     owner.submit("keep", "b");
     owner.submit("r", "a");
     owner.engine.deliverAll();
@@ -355,7 +356,7 @@
     owner.submit("s", "c");
     owner.answerPermits();
     CHECK_FALSE(owner.engine.has("unload"));
-    owner.settle(8s);
+    owner.runFor(8s);
     CHECK(test.endpoint.unloadsInUse == 0);
     CHECK(test.endpoint.starts["s"] == 1);
     CHECK(test.endpoint.resident == std::set<std::string>{"b@1", "c@1"});
@@ -366,8 +367,8 @@
     core::time_point now(1000s);
     mock_endpoint endpoint{.resident = {"a@1"}};
     owner_fixture owner(endpoint, now, 1, 2);
-    owner.grantsLoads = false;
-    owner.settle();
+    owner.admitsLoads = false;
+    owner.runFor();
     owner.submit("r1", "cold");
     owner.submit("r2", "cold");
     CHECK_FALSE(owner.owner.status()->accepting);
@@ -385,8 +386,8 @@
 {
     single_owner test({"a@1"});
     owner_fixture &owner = test.fixture;
-    owner.settle();
-    owner.grantsLoads = false;
+    owner.runFor();
+    owner.admitsLoads = false;
     owner.submit("running", "a");
     owner.submit("waiting", "cold");
     owner.engine.deliverAll();
@@ -395,7 +396,7 @@
     CHECK(owner.owner.hasRuns());
     owner.submit("late", "a");
     CHECK(owner.endOf("late")->outcome == run_outcome::not_run);
-    owner.settle();
+    owner.runFor();
     owner.engine.advance("running", true);
     CHECK(owner.endOf("running")->outcome == run_outcome::completed);
     CHECK_FALSE(owner.owner.hasRuns());
@@ -406,16 +407,16 @@
     core::time_point now(1000s);
     mock_endpoint endpoint{.resident = {"a@1"}};
     owner_fixture first(endpoint, now, 1);
-    first.settle();
+    first.runFor();
     first.submit("r", "a");
     first.engine.deliverAll();
     first.engine.advance("r", false);
     owner_fixture second(endpoint, now, 2);
-    second.settle();
+    second.runFor();
     CHECK(endpoint.highest == 2050);
     for (int run = 0; run < 10; ++run)
         second.submit("other " + std::to_string(run), "a");
-    run_submit resumed = second.runOf("r", "a");
+    run_submit resumed = second.makeRun("r", "a");
     resumed.resumeFrom = 1;
     second.owner.submit(resumed);
     second.engine.deliverAll();
@@ -430,13 +431,13 @@
 {
     single_owner test({"a@1"});
     owner_fixture &owner = test.fixture;
-    owner.settle();
-    owner.grantsLoads = false;
+    owner.runFor();
+    owner.admitsLoads = false;
     owner.submit("waiting", "cold");
     owner.owner.resumeAfterPause();
     CHECK(owner.endOf("waiting")->outcome == run_outcome::not_run);
     CHECK_FALSE(owner.owner.isOwning());
-    owner.settle();
+    owner.runFor();
     CHECK(owner.owner.isOwning());
     CHECK(test.endpoint.highest == 2049);
 }
@@ -445,24 +446,24 @@
 {
     single_owner test({"a@1"}, false);
     owner_fixture &owner = test.fixture;
-    owner.settle();
+    owner.runFor();
     owner.submit("warm", "a");
     owner.submit("cold", "b");
-    owner.settle(5s);
+    owner.runFor(5s);
     CHECK(test.endpoint.starts["warm"] == 1);
-    CHECK(owner.asked.empty());
+    CHECK(owner.requestedLoads.empty());
     CHECK(test.endpoint.starts["cold"] == 0);
     ownership::lease_table table;
     const auto record = owner.owner.lease().propose(table, test.now);
     REQUIRE(record.has_value());
     table.apply(1, *record, test.now);
     owner.owner.lease().observe(table, test.now);
-    owner.settle(1s);
+    owner.runFor(1s);
     CHECK(test.endpoint.starts["cold"] == 1);
     test.now += 20s;
     owner.submit("later", "c");
-    owner.settle(1s);
-    CHECK(owner.asked.empty());
+    owner.runFor(1s);
+    CHECK(owner.requestedLoads.empty());
     CHECK_FALSE(test.endpoint.resident.contains("c@1"));
 }
 
@@ -470,8 +471,8 @@
 {
     single_owner test({"a@1"});
     owner_fixture &owner = test.fixture;
-    owner.settle();
-    owner.grantsLoads = false;
+    owner.runFor();
+    owner.admitsLoads = false;
     owner.submit("waiting", "cold");
     for (int round = 0; round < 3; ++round) {
         test.now += 300ms;
@@ -481,7 +482,7 @@
     }
     CHECK_FALSE(owner.owner.status()->accepting);
     CHECK(owner.endOf("waiting")->outcome == run_outcome::not_run);
-    owner.settle();
+    owner.runFor();
     CHECK(owner.owner.status()->accepting);
 }
 
@@ -514,10 +515,10 @@
                     owner.owner.cancel("r" + std::to_string(random() % nextRun), "entry-9");
                 while (!owner.engine.calls.empty() && random() % 3 != 0) {
                     const std::size_t index = random() % owner.engine.calls.size();
-                    const unsigned fate = random() % 40;
-                    if (fate == 0)
+                    const unsigned action = random() % 40;
+                    if (action == 0)
                         owner.engine.loseAnswer(index);
-                    else if (fate == 1)
+                    else if (action == 1)
                         late.push_back(owner.engine.interrupt(index));
                     else
                         owner.engine.deliver(index);
