--- a/corneltally/entry/owned_endpoint_impl.h
+++ b/corneltally/entry/owned_endpoint_impl.h
@@ -41,7 +41,7 @@
     if (mView.leaving)
         refuseWaiting(core::error_kind::unavailable, "the endpoint is leaving");
     if (fencingChanged && mTakeover.current() != ownership::takeover::phase::not_owner)
-        loseOwnership("the endpoint's fencing changed");
+        loseOwnership("the endpoint's fencing setting changed");
 }
 
 template <endpoint::engine_protocol Engine>
@@ -201,8 +201,7 @@
     mTakeover.lost();
     mPolling = false;
     returnPermit();
-    refuseWaiting(core::error_kind::unavailable,
-                  "this instance does not own the endpoint any more");
+    refuseWaiting(core::error_kind::unavailable, "this instance no longer owns the endpoint");
     // Two instances that cannot see each other take the endpoint over in turn; each of them keeps
     // it for longer and longer. The slot keeps them from doing so in step.
     const core::time_point now = mHooks.now();
--- a/corneltally/entry/owned_endpoint_runs_impl.h
+++ b/corneltally/entry/owned_endpoint_runs_impl.h
@@ -353,7 +353,7 @@
     for (const scheduling::queued_request &expired : mQueue.takeExpired(mHooks.now())) {
         const auto node = mWaiting.extract(expired.requestId);
         refuse(node.mapped(), core::error_kind::timeout,
-               "the deadline passed while the request waited");
+               "the deadline passed while the request was queued");
     }
 }
 
--- a/corneltally/entry/peer_codec.cpp
+++ b/corneltally/entry/peer_codec.cpp
@@ -352,7 +352,7 @@
         if (message)
             return std::move(*message);
     }
-    return core::error{core::error_kind::invalid_request, "a frame of a peer is not valid",
+    return core::error{core::error_kind::invalid_request, "invalid frame from a peer",
                        "run the same version of the daemon on all instances"};
 }
 
--- a/corneltally/entry/peers_service.cpp
+++ b/corneltally/entry/peers_service.cpp
@@ -45,8 +45,8 @@
     return run_event{inEvent.requestId,
                      run_end{.outcome = run_outcome::unknown,
                              .error = {core::error_kind::internal,
-                                       "a part of the answer is too long to be passed on",
-                                       "ask for a shorter answer, or for a stream"}}};
+                                       "a part of the answer exceeds the frame size limit",
+                                       "request a shorter answer or a stream"}}};
 }
 
 } // namespace
@@ -288,7 +288,7 @@
     if (source.refused)
         return;
     if (source.incarnation == 0) {
-        closeLink(inLink, "a message came before the hello");
+        closeLink(inLink, "received a message before the hello");
         return;
     }
     const std::string instance = source.instance;
@@ -335,7 +335,7 @@
     }
     if (outcome == membership::heard_outcome::ignored) {
         // The peer tries again, so that it is accepted once the tree names it.
-        closeLink(inLink, "the tree does not name the peer");
+        closeLink(inLink, "the settings tree does not name the peer");
         return;
     }
     source.incarnation = inHello.incarnation;
@@ -405,7 +405,7 @@
                        {{"peer", inInstance}, {"bytes", inBody.size()}});
         return false;
     }
-    closeLink(active, "the peer does not take what it is sent");
+    closeLink(active, "the connection is closed or its send buffer is full");
     return false;
 }
 
--- a/corneltally/entry/settings_publisher.h
+++ b/corneltally/entry/settings_publisher.h
@@ -206,10 +206,10 @@
         if (!mAtEnd)
             reason = mLastFailure;
         else if (mReplica.hasGap())
-            reason
-                = core::error{core::error_kind::unavailable,
-                              "the log does not reach back to the start and has no snapshot",
-                              "start an entry instance that knows the tree; it writes a snapshot"};
+            reason = core::error{
+                core::error_kind::unavailable,
+                "the log no longer holds its first records and has no snapshot",
+                "start an entry instance that has the settings tree; it writes a snapshot"};
         std::exchange(mLoaded, nullptr)(reason);
         return;
     }
--- a/corneltally/entry/settings_sync_service.h
+++ b/corneltally/entry/settings_sync_service.h
@@ -184,8 +184,8 @@
         addPage(inResult);
         if (inResult.next < mReadFrom) {
             retryLater({core::error_kind::unavailable,
-                        "the log ends at " + std::to_string(inResult.next)
-                            + ", before records that were read from it",
+                        "the log ends at offset " + std::to_string(inResult.next)
+                            + ", before records that were already read",
                         "check that the platform address names the right log"});
             return;
         }
