--- a/corneltally/entry/daemon.cpp
+++ b/corneltally/entry/daemon.cpp
@@ -29,7 +29,7 @@
 
 using namespace std::chrono_literals;
 
-/// A gap between two ticks of the loop after which leases, loans and keys may be out of date.
+/// Gap between two iterations of the event loop after which leases, loans and keys may be outdated.
 constexpr core::duration cPauseLimit = 1s;
 
 std::uint64_t newIncarnation()
@@ -47,8 +47,8 @@
             .maxConnections = static_cast<std::uint64_t>(inLimits.maxConnections)};
 }
 
-/// Takes the place of the claims service if that guard is switched off, only for tests: each
-/// request is granted its key without an order on the log.
+/// Replaces the claims service if that guard is disabled; only for tests. Each request is granted
+/// its key without an order on the log.
 void grantAllClaims(kernel::service_registry &ioRegistry)
 {
     ioRegistry.handle<claim_begin>("claims", [&ioRegistry](const claim_begin &inBegin) {
--- a/corneltally/entry/endpoint_directory.cpp
+++ b/corneltally/entry/endpoint_directory.cpp
@@ -17,7 +17,7 @@
 void endpoint_directory::setCatalog(std::shared_ptr<const settings::catalog> inCatalog)
 {
     mCatalog = std::move(inCatalog);
-    // Entries with requests stay until these ended.
+    // Entries with outstanding requests are kept until these end.
     std::erase_if(mEntries, [&](const auto &inEntry) {
         return inEntry.second.outstanding == 0 && mCatalog->findEndpoint(inEntry.first) == nullptr;
     });
--- a/corneltally/entry/endpoint_directory.h
+++ b/corneltally/entry/endpoint_directory.h
@@ -21,7 +21,7 @@
 
 namespace corneltally::entry {
 
-/// What one instance knows about the endpoints, and the choice of one for a run.
+/// The state of all endpoints as known to one instance; chooses an endpoint for each run.
 class endpoint_directory
 {
 public:
@@ -30,22 +30,22 @@
     explicit endpoint_directory(std::string inInstance);
 
     void setCatalog(std::shared_ptr<const settings::catalog> inCatalog);
-    /// Instances that take runs, and instances that only finish theirs.
+    /// Sets the instances that accept runs and those that only finish their running ones.
     void setInstances(name_set inLive, name_set inDraining);
-    /// Whether messages reach an instance, which may be live but not connected for a while.
+    /// Sets whether messages reach an instance; a live one may be disconnected temporarily.
     void setConnected(const std::string &inInstance, bool inConnected);
     void updateStatus(const endpoint_status &inStatus, core::time_point inNow);
 
-    /// Whether an instance can still finish runs.
+    /// Whether an instance is live or draining and can finish runs.
     bool isPresent(std::string_view inInstance) const;
-    /// The known owner of an endpoint, if messages reach it.
+    /// The last known owner of an endpoint, if it is present and connected.
     std::optional<std::string> ownerOf(std::string_view inEndpoint) const;
     const settings::endpoint_view *find(std::string_view inEndpoint) const;
 
-    /// Endpoint for a run of an adapter. Endpoints that refused this run before are avoided.
+    /// Chooses an endpoint for a run of an adapter. inExcluded holds the endpoints that refused it.
     std::optional<std::string> chooseModelEndpoint(const run &inRun, const name_set &inExcluded,
                                                    core::time_point inNow, std::uint64_t inRandom);
-    /// Endpoint for a call to an application service.
+    /// Chooses an endpoint for a call to an application service.
     std::optional<std::string> chooseServiceEndpoint(const run &inRun, const name_set &inExcluded,
                                                      core::time_point inNow,
                                                      std::uint64_t inRandom);
@@ -54,7 +54,7 @@
     void succeeded(const run &inRun, std::string_view inEndpoint, core::duration inLatency,
                    core::time_point inNow);
     void failed(const run &inRun, std::string_view inEndpoint, core::time_point inNow);
-    /// The run ended without telling anything about the endpoint.
+    /// Records a run whose end says nothing about the health of the endpoint.
     void abandoned(const run &inRun, std::string_view inEndpoint, core::time_point inNow);
 
     void prune(core::time_point inNow) { mPlacement.prune(inNow); }
--- a/corneltally/entry/instance_list_service.cpp
+++ b/corneltally/entry/instance_list_service.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// The platform's list lags by itself; work for a leaving endpoint has to end within 3 s.
+/// Work for a leaving endpoint must end within 3 s, and the platform's list is itself delayed.
 constexpr core::duration cPollPeriod = std::chrono::milliseconds(500);
 
 } // namespace
--- a/corneltally/entry/instance_list_service.h
+++ b/corneltally/entry/instance_list_service.h
@@ -14,8 +14,8 @@
 
 namespace corneltally::entry {
 
-/// Polls the platform's list and announces the endpoints that it reports as leaving. While the list
-/// cannot be read, the last one stays in force.
+/// Polls the platform's instance list and broadcasts the names that it reports as leaving. While
+/// the list cannot be read, the last one remains in effect.
 class instance_list_service : public kernel::service
 {
 public:
--- a/corneltally/entry/lease_sync.h
+++ b/corneltally/entry/lease_sync.h
@@ -12,12 +12,12 @@
 
 namespace corneltally::entry {
 
-/// Reads the log stream "leases" and appends the records that leases propose.
+/// Reads the log stream "leases" and appends the records that the leases of this instance propose.
 template <platform::log_service Log>
 class lease_sync
 {
 public:
-    /// Finds the lease of an endpoint, or nullptr if this instance does not want it (any more).
+    /// Finds the lease of an endpoint; nullptr if this instance does not need it (any longer).
     using lease_finder = std::function<ownership::lease *(const std::string &inEndpoint)>;
 
     lease_sync(Log &inLog, std::function<core::time_point()> inNow, lease_finder inFinder)
@@ -26,7 +26,7 @@
         , mFindLease(std::move(inFinder))
     { }
 
-    /// Reads and appends what is due for the endpoints whose leases are wanted.
+    /// Reads the log and appends due records for the endpoints whose leases are needed.
     void tick(const std::vector<std::string> &inEndpoints)
     {
         if (inEndpoints.empty())
@@ -38,7 +38,7 @@
             if (lease == nullptr)
                 continue;
             lease->observe(mTable, mNow());
-            // A proposal from an old view would only be refused.
+            // A proposal that is based on an outdated table would be rejected.
             if (mCaughtUp)
                 propose(*lease, endpoint);
         }
--- a/corneltally/entry/operator_api_service.cpp
+++ b/corneltally/entry/operator_api_service.cpp
@@ -67,7 +67,7 @@
     else if (!mCatalog)
         ioExchange.replyJson(503, R"({"ready":false,"reason":"the settings are not loaded"})");
     else if (core::boot_clock::now() - mStartedAt < limits::fleet_share::cLoanDuration)
-        // A new process may not spend its share of the rates yet and would refuse its callers.
+        // A new process may not use its share of the rates yet and would reject its callers.
         ioExchange.replyJson(503, R"({"ready":false,"reason":"the rates are not in force"})");
     else
         ioExchange.replyJson(200, R"({"ready":true})");
--- a/corneltally/entry/operator_api_service.h
+++ b/corneltally/entry/operator_api_service.h
@@ -19,7 +19,7 @@
 
 namespace corneltally::entry {
 
-/// Serves operators: /healthz, /readyz, /metrics, /dump and /version.
+/// HTTP API for operators: /healthz, /readyz, /metrics, /dump and /version.
 class operator_api_service : public kernel::service
 {
 public:
@@ -29,7 +29,7 @@
     std::string_view name() const override { return "operator_api"; }
     void start() override { }
 
-    /// Binds the listener; returns false if the address is taken.
+    /// Binds the listener. Returns false if the address is in use.
     bool listen();
     unsigned short port() const { return mServer.port(); }
 
--- a/corneltally/entry/owned_endpoint.h
+++ b/corneltally/entry/owned_endpoint.h
@@ -20,8 +20,9 @@
 
 namespace corneltally::entry {
 
-/// One endpoint that this instance owns or may own: acquires and gives up ownership, queues and
-/// starts runs, and loads and unloads adapters. The engine must outlive the calls that it makes.
+/// Manages one endpoint that this instance owns or is assigned: acquires and releases ownership,
+/// queues and starts runs, and loads and unloads adapters. The engine must exist as long
+/// as this object calls it.
 template <endpoint::engine_protocol Engine>
 class owned_endpoint
 {
@@ -29,33 +30,35 @@
     owned_endpoint(Engine &inEngine, settings::endpoint_view inView,
                    owned_endpoint_options inOptions, owned_endpoint_hooks inHooks);
 
-    /// Applies the settings tree: the endpoint, limits of its queue, and the number that tells this
-    /// instance's fencing numbers from those of others.
+    /// Applies the settings tree: the endpoint, the limits of its queue, and the slot that keeps
+    /// this instance's fencing numbers distinct from those of other instances.
     void configure(const settings::endpoint_view &inView, std::size_t inMaxQueued,
                    core::duration inPatientMaxWait, std::uint64_t inFenceSlot);
 
-    /// Whether this instance should own the endpoint, by the rule of ownership::chooseOwner().
+    /// Sets whether ownership::chooseOwner() assigns the endpoint to this instance.
     void setAssigned(bool inAssigned);
 
-    /// Another instance published a fencing number of the endpoint.
+    /// Records a fencing number of the endpoint that another instance published.
     void observeFence(std::uint64_t inFence) { mHighestFence = std::max(mHighestFence, inFence); }
 
-    /// Takes no new runs. Returns the number of waiting runs that were given back.
+    /// Stops accepting runs. Returns the number of queued runs that were returned to their origins.
     std::size_t startDrain();
 
-    /// The process did not run for a while: another instance may have taken over.
+    /// Gives up ownership after a pause of the process, during which another instance may have
+    /// taken the endpoint over.
     void resumeAfterPause();
 
     void submit(const run_submit &inSubmit);
     void cancel(const std::string &inRequestId, const std::string &inOrigin);
-    /// Drops waiting runs whose origin is gone.
+    /// Removes the queued runs of an instance that is no longer present.
     void dropOrigin(const std::string &inOrigin);
+    /// Receives the answer to owned_endpoint_hooks::admitLoad.
     void loadAdmitted(const weight_load_result &inResult);
 
-    /// Does what has become due; call it every few dozen milliseconds.
+    /// Performs the steps that are due; to be called every few tens of milliseconds.
     void tick();
 
-    /// For the dispatching instances; nothing if this instance is not the owner.
+    /// Status for the dispatching instances; empty if this instance is not the owner.
     std::optional<endpoint_status> status() const;
     bool isAssigned() const { return mAssigned && !mDraining; }
     bool hasRuns() const { return !mRuns.empty(); }
@@ -139,12 +142,13 @@
     ownership::takeover mTakeover;
     ownership::lease mLease;
     bool mLeaseHeld = false;
-    /// Tells the answers of an earlier acquisition or ownership from current ones.
+    /// Identify the current acquisition and the current ownership, so that answers to calls of
+    /// earlier ones are discarded.
     std::uint64_t mAttempt = 0;
     std::uint64_t mOwnershipNumber = 0;
     core::time_point mNextAcquire;
     core::duration mAcquireDelay{};
-    /// Wait after another instance took over; doubled if the two do so in turn.
+    /// Delay before acquiring again after a loss; doubled for each loss within 30 s of acquisition.
     core::duration mLossDelay{};
     std::uint64_t mHighestFence = 0;
     bool mNeedsNewFence = false;
@@ -154,7 +158,7 @@
     core::time_point mNextPoll;
     int mFailedPolls = 0;
     static constexpr int sFailedPollLimit = 3;
-    /// A report was received since the endpoint was taken over.
+    /// A report was received since this instance acquired the endpoint.
     bool mReported = false;
     std::map<std::string, int, std::less<>> mReportedRuns;
 
@@ -167,17 +171,18 @@
 
     std::optional<load_permit> mPermit;
     core::time_point mNextLoad;
-    /// Unloads that may still take effect, and when that is ruled out. No run of these starts.
+    /// Adapters with an unload that may still take effect, and when that is ruled out. Until then
+    /// no run of these adapters starts.
     std::map<std::string, core::time_point> mUncertainUnloads;
     std::uint64_t mLoads = 0;
     std::uint64_t mFailedLoads = 0;
     std::uint64_t mUnloads = 0;
 };
 
-/// Name of an adapter version, as engines call it.
+/// Name of an adapter version in the engine protocol: adapter@version.
 std::string adapterName(std::string_view inAdapter, std::string_view inVersion);
 
-/// The parts of a name made by adapterName().
+/// Splits a name made by adapterName().
 resident_adapter splitAdapterName(std::string_view inName);
 
 } // namespace corneltally::entry
--- a/corneltally/entry/owned_endpoint_adapters_impl.h
+++ b/corneltally/entry/owned_endpoint_adapters_impl.h
@@ -37,7 +37,7 @@
     if (!mayCommand() || now < mNextLoad)
         return;
     if (mPermit && now - mPermit->since >= cPermitLimit) {
-        // No slot became free, or the answer of the admission service was lost.
+        // No slot was freed in time, or the answer of the admission service was lost.
         returnPermit();
         mNextLoad = now + std::chrono::milliseconds(250);
         return;
@@ -46,7 +46,7 @@
         mQueue.demand(now), [this](const std::string &inName) { return isInUse(inName); }, now);
     if (decision.kind == scheduling::slot_decision::action::none)
         return;
-    // An unload only makes sense if the load after it is admitted: until then the slot serves.
+    // Unloads only once the following load is admitted; until then the resident adapter can serve.
     if (!mPermit) {
         requestPermit(decision.wanted);
     } else if (mPermit->granted) {
@@ -95,7 +95,7 @@
     if (!mPermit)
         return;
     const resident_adapter parts = splitAdapterName(mPermit->adapter);
-    // A permit that is granted later is returned by loadAdmitted().
+    // If the permit is granted later, loadAdmitted() returns it.
     const bool granted = mPermit->granted;
     mPermit.reset();
     if (granted)
@@ -157,8 +157,8 @@
 {
     using outcome = endpoint::engine_outcome;
     if (inResult.outcome == outcome::unknown) {
-        // It may take effect later, when runs use the adapter again: no run starts until a new
-        // fencing number or time rules that out.
+        // The unload may still take effect. Runs of the adapter do not start until a new fencing
+        // number or the elapsed time rules that out.
         if (mView.checksFencing)
             mNeedsNewFence = true;
         else
@@ -184,7 +184,7 @@
     std::erase_if(mUncertainUnloads, [&](const auto &inEntry) {
         if (inEntry.second > now)
             return false;
-        // Whether the adapter is still resident is left to the next report.
+        // The next report shows whether the adapter is still resident.
         mSlots.unloadEnded(inEntry.first, false, now);
         return true;
     });
--- a/corneltally/entry/owned_endpoint_impl.h
+++ b/corneltally/entry/owned_endpoint_impl.h
@@ -50,7 +50,8 @@
     if (std::exchange(mAssigned, inAssigned) == inAssigned)
         return;
     if (inAssigned) {
-        // A lost owner's queue is empty; a releasing one acquires a new number.
+        // After a loss the queue is already empty; an ownership that is being released is dropped
+        // and acquired again with a new number.
         if (mTakeover.current() == ownership::takeover::phase::releasing)
             mTakeover.lost();
         mNextAcquire = mHooks.now();
@@ -144,7 +145,7 @@
 template <endpoint::engine_protocol Engine>
 void owned_endpoint<Engine>::registerFence(std::uint64_t inHighest, std::uint64_t inAttempt)
 {
-    // An endpoint that restarted may have forgotten numbers that this or other instances used.
+    // A restarted endpoint may have lost the numbers that this or other instances registered.
     const std::uint64_t fence
         = ownership::nextFence(std::max({inHighest, mTakeover.fence(), mHighestFence}), mFenceSlot);
     mEngine.registerFence(fence,
@@ -169,7 +170,7 @@
     mAcquiredAt = now;
     mAcquireDelay = {};
     mNextPoll = now;
-    // Unloads that were on their way with the old number are refused from now on.
+    // The endpoint now rejects unloads that are still in transit with the old number.
     if (mView.checksFencing) {
         for (auto &[adapter, until] : mUncertainUnloads)
             until = now;
@@ -202,8 +203,8 @@
     mPolling = false;
     returnPermit();
     refuseWaiting(core::error_kind::unavailable, "this instance no longer owns the endpoint");
-    // Two instances that cannot see each other take the endpoint over in turn; each of them keeps
-    // it for longer and longer. The slot keeps them from doing so in step.
+    // Two instances that cannot reach each other take the endpoint over from each other. The
+    // growing delay lets each keep it longer, and the offset by slot keeps their attempts apart.
     const core::time_point now = mHooks.now();
     if (now - mAcquiredAt > std::chrono::seconds(30))
         mLossDelay = {};
@@ -216,7 +217,7 @@
 void owned_endpoint<Engine>::handleStaleFence(std::uint64_t inUsedFence,
                                               const std::string &inReason)
 {
-    // The refusal of a number that this instance has replaced itself says nothing.
+    // The rejection of a number that this instance replaced itself does not mean a loss.
     if (isOwning() && inUsedFence == mTakeover.fence())
         loseOwnership(inReason);
 }
@@ -228,7 +229,7 @@
         return;
     const core::time_point now = mHooks.now();
     const bool held = mLease.isHeld(now);
-    // Without the lease, another instance may have commanded the endpoint in the meantime.
+    // While the lease was not held, another instance may have sent commands to the endpoint.
     if (held && !mLeaseHeld && isOwning())
         mTakeover.acquiredUnfenced(now, now + mOptions.longestRequest);
     mLeaseHeld = held;
@@ -257,7 +258,7 @@
         loseOwnership("the endpoint reports a greater fencing number");
         return;
     }
-    // After a restart the endpoint accepts the numbers of earlier owners again.
+    // The endpoint restarted and accepts the numbers of earlier owners again.
     if (mView.checksFencing && isOwning() && inState.fence < mTakeover.fence()
         && inState.described > mAcquiredAt)
         mNeedsNewFence = true;
@@ -295,7 +296,7 @@
 std::optional<endpoint_status> owned_endpoint<Engine>::status() const
 {
     using phase = ownership::takeover::phase;
-    // A number that replaces the own one is acquired within a round trip; the endpoint stays owned.
+    // Renewing the fencing number takes a round trip, during which the endpoint stays owned.
     const bool isRenewing = mTakeover.current() == phase::acquiring && mReported;
     if (!isOwning() && !isRenewing)
         return std::nullopt;
--- a/corneltally/entry/owned_endpoint_runs_impl.h
+++ b/corneltally/entry/owned_endpoint_runs_impl.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Waiting and running requests of owned_endpoint; included by owned_endpoint.h.
+// Queued and running requests of owned_endpoint; included by owned_endpoint.h.
 
 #include "corneltally/core/json_log.h"
 #include "corneltally/entry/owned_endpoint.h"
@@ -29,7 +29,7 @@
 {
     const core::time_point now = mHooks.now();
     mOptions.longestRequest = std::max(mOptions.longestRequest, inSubmit.request.deadline - now);
-    // The origin repeats or continues a run whose events it lost.
+    // The origin repeats or resumes a run whose events were lost.
     dropEarlierRun(inSubmit.request.requestId);
     if (inSubmit.request.deadline <= now)
         refuse(inSubmit, core::error_kind::timeout, "the deadline passed before the run started");
@@ -42,7 +42,7 @@
 template <endpoint::engine_protocol Engine>
 void owned_endpoint<Engine>::queueRun(const run_submit &inSubmit)
 {
-    // While a number that replaces the own one is acquired, runs wait for it.
+    // Runs are queued while the fencing number is being renewed.
     const bool isRenewing = mTakeover.current() == ownership::takeover::phase::acquiring
         && mReported && !mDraining && !mView.leaving;
     if (!mayTakeRuns() && !isRenewing) {
@@ -71,7 +71,7 @@
         refuse(inSubmit, core::error_kind::unavailable, "this instance does not own the endpoint");
         return;
     }
-    // The run is at the endpoint already, so that it does not queue behind new work.
+    // The run is already at the endpoint and does not wait in the queue.
     scheduling::queued_request entry = queueEntry(inSubmit);
     owned_run running;
     running.submitted = inSubmit;
@@ -243,7 +243,7 @@
         finishRun(inRequestId, std::move(end), used);
         return;
     }
-    // A refusal of a continuation does not prove that the run itself did not start.
+    // The rejection of a resumption does not prove that the run itself did not start.
     if (inEnd.outcome == outcome::unknown || wasResumed) {
         handleInterruption(running, inEnd.reason);
         return;
@@ -260,7 +260,8 @@
         handleStaleFence(fence, inEnd.reason);
 }
 
-/// A call ended without an answer: the stream is continued if that is possible.
+/// Handles a call that ended without an answer: schedules the resumption of the stream if possible,
+/// otherwise ends the run with an unknown outcome.
 template <endpoint::engine_protocol Engine>
 void owned_endpoint<Engine>::handleInterruption(owned_run &ioRun, const std::string &inReason)
 {
--- a/corneltally/entry/owned_run.h
+++ b/corneltally/entry/owned_run.h
@@ -15,14 +15,14 @@
     /// Adapter and version as one name.
     std::string adapter;
     std::uint64_t call = 0;
-    /// Fencing number that the run was sent with.
+    /// Fencing number that was sent with the run.
     std::uint64_t fence = 0;
     core::time_point startedAt;
     std::uint64_t nextPart = 0;
-    /// The endpoint answered, so that the run is not on its way any more.
+    /// The endpoint answered, so that the request is no longer in transit.
     bool reachedEndpoint = false;
     bool headSent = false;
-    /// Continuations since the last part arrived, and when to try the next one.
+    /// Resumptions since the last part arrived, and the time of the next one.
     int resumptions = 0;
     std::optional<core::time_point> resumeAt;
 };
--- a/corneltally/entry/owner_messages.h
+++ b/corneltally/entry/owner_messages.h
@@ -7,8 +7,9 @@
 
 namespace corneltally::entry {
 
-/// Submits a run to the owner of an endpoint. Its run_event messages go to the dispatch service of
-/// the origin instance; the owner refuses with run_end{not_run} if it does not own the endpoint.
+/// Submits a run to the owner of an endpoint, which sends run_event messages to the dispatch
+/// service of the origin instance. An instance that does not own the endpoint answers
+/// run_end{not_run}.
 struct run_submit
 {
     run request;
@@ -19,14 +20,14 @@
     std::uint64_t resumeFrom = 0;
 };
 
-/// Ends a run whose caller left.
+/// Cancels a run whose caller disconnected.
 struct run_cancel
 {
     std::string requestId;
     std::string origin;
 };
 
-/// The process is shutting down: hand over endpoints once nothing runs on them.
+/// The process is shutting down: endpoints are handed over once no run is left on them.
 struct drain_started
 { };
 
--- a/corneltally/entry/owner_service.cpp
+++ b/corneltally/entry/owner_service.cpp
@@ -14,7 +14,7 @@
 using namespace std::chrono_literals;
 
 constexpr core::duration cTickPeriod = 25ms;
-/// Statuses are published on change, but not more often than this.
+/// Minimum time between two published statuses of an endpoint, which are sent on change.
 constexpr core::duration cPublishPeriod = 100ms;
 
 bool isIn(const std::vector<std::string> &inNames, const std::string &inName)
@@ -197,7 +197,7 @@
 {
     if (mRegistry.post("admission", weight_load_admit{inEndpoint, inAdapter, inVersion}))
         return;
-    // Without an admission service, as in tests of this service alone, nothing limits loads.
+    // Without an admission service, as in isolated tests of this service, loads are not limited.
     mRegistry.post(name(), weight_load_result{inEndpoint, inAdapter, inVersion, true, {}});
 }
 
@@ -299,7 +299,7 @@
         replaced = replaced || (done && current.obsolete);
         entry = done ? mOwned.erase(entry) : std::next(entry);
     }
-    // An endpoint with a new address is owned anew.
+    // An endpoint whose address changed gets a new entry.
     if (replaced)
         chooseEndpoints();
 }
--- a/corneltally/entry/owner_service.h
+++ b/corneltally/entry/owner_service.h
@@ -31,12 +31,12 @@
     std::uint64_t incarnation = 0;
     /// Address of the platform, for leases.
     http::address platform;
-    /// Takes adapters whose use is not known for unused; only for tests.
+    /// Treats adapters whose use is unknown as unused; only for tests.
     bool ignoreUnknownUse = false;
 };
 
-/// Owns endpoints: decides which ones this instance owns, and connects their logic with the other
-/// services and with peers.
+/// Determines which endpoints this instance owns and connects them with the other services and with
+/// peers.
 class owner_service : public kernel::service
 {
 public:
@@ -53,10 +53,10 @@
     struct owned_entry
     {
         std::unique_ptr<engine_endpoint> state;
-        /// Declared after the state, so that its calls end before the state that they report to.
+        /// Declared after the state and thus destroyed first, since its calls report to the state.
         std::unique_ptr<endpoint::engine_client> engine;
         std::string address;
-        /// The tree names another address, or the endpoint no more.
+        /// The settings tree has another address or no longer has the endpoint.
         bool obsolete = false;
         std::optional<endpoint_status> published;
         core::time_point publishedAt;
@@ -70,7 +70,7 @@
     void cancel(const run_cancel &inCancel);
     void handlePeerStatus(const endpoint_status &inStatus);
 
-    /// Chooses again which endpoints this instance owns.
+    /// Recomputes which endpoints are assigned to this instance.
     void chooseEndpoints();
     std::vector<ownership::owner_candidate> candidates() const;
     void assignEndpoint(const settings::endpoint_view &inView);
@@ -90,9 +90,9 @@
     std::shared_ptr<const settings::catalog> mCatalog;
     peers_changed mPeers;
     std::map<std::string, owned_entry, std::less<>> mOwned;
-    /// Greatest fencing number that was published for each endpoint.
+    /// Highest fencing number that peers published for each endpoint.
     std::map<std::string, std::uint64_t, std::less<>> mKnownFences;
-    /// Endpoints created so far; keeps the sequence numbers of their leases apart.
+    /// Number of entries created; gives each lease its own range of sequence numbers.
     std::uint64_t mCreatedCount = 0;
     bool mDraining = false;
     bool mDrainReported = false;
--- a/corneltally/entry/peer_codec.cpp
+++ b/corneltally/entry/peer_codec.cpp
@@ -22,7 +22,7 @@
 template <typename... Cases>
 overloaded(Cases...) -> overloaded<Cases...>;
 
-/// A table and its tag in the union of the envelope.
+/// A table and its type in the union of the envelope.
 struct encoded_body
 {
     wire::Body type = wire::Body::NONE;
@@ -42,7 +42,7 @@
 
 Offset<wire::Run> encodeRun(FlatBufferBuilder &ioBuilder, const run &inRun, core::time_point inNow)
 {
-    // Bodies may hold zero bytes, which the form for C strings would cut off.
+    // Bodies may contain zero bytes, at which the overload for C strings would truncate them.
     const auto requestId = ioBuilder.CreateString(inRun.requestId);
     const auto account = ioBuilder.CreateString(inRun.account);
     const auto route = ioBuilder.CreateString(inRun.route);
--- a/corneltally/entry/peer_codec.h
+++ b/corneltally/entry/peer_codec.h
@@ -23,7 +23,7 @@
     friend auto operator<=>(const peer_hello &, const peer_hello &) = default;
 };
 
-/// Sent regularly on every connection; its arrival is the progress of the connection.
+/// Sent regularly on every connection; shows that the connection makes progress.
 struct peer_heartbeat
 {
     std::uint64_t incarnation = 0;
@@ -34,19 +34,19 @@
     friend auto operator<=>(const peer_heartbeat &, const peer_heartbeat &) = default;
 };
 
-/// The sender is shutting down and takes no new work.
+/// The sender is shutting down and accepts no new work.
 struct peer_drain_notice
 {
     friend auto operator<=>(const peer_drain_notice &, const peer_drain_notice &) = default;
 };
 
-/// Everything that a frame between instances can hold.
+/// Any message that a frame between instances can hold.
 using wire_message = std::variant<peer_hello, peer_heartbeat, peer_drain_notice, peer_message>;
 
-/// The body of a frame. Deadlines become the time that remains at inNow.
+/// Encodes the body of a frame. Deadlines are sent as the time that remains at inNow.
 std::string encodePeerFrame(const wire_message &inMessage, core::time_point inNow);
 
-/// Verifies and reads the body of a frame. Remaining times become deadlines counted from inNow.
+/// Verifies and decodes the body of a frame. Remaining times become deadlines relative to inNow.
 core::result<wire_message> decodePeerFrame(std::string_view inBody, core::time_point inNow);
 
 } // namespace corneltally::entry
--- a/corneltally/entry/peers_messages.h
+++ b/corneltally/entry/peers_messages.h
@@ -13,7 +13,7 @@
 
 namespace corneltally::entry {
 
-/// Asks peers for a share of an account; the answer arrives as loan_granted.
+/// Requests a share of an account's limits from peers; answered by loan_grant.
 struct loan_request
 {
     std::string account;
@@ -22,7 +22,7 @@
     double tokens = 0;
 };
 
-/// Lends a share to a peer.
+/// Lends a share of an account's limits to a peer.
 struct loan_grant
 {
     std::string account;
@@ -33,7 +33,7 @@
     core::duration validFor{};
 };
 
-/// A record of the settings log, passed on as it was read.
+/// A record of the settings log, forwarded unchanged, except that a placeholder replaces snapshots.
 struct settings_record
 {
     std::uint64_t offset = 0;
@@ -42,27 +42,28 @@
     friend auto operator<=>(const settings_record &, const settings_record &) = default;
 };
 
-/// Consecutive records of the settings log; firstOffset is the lowest offset that they follow on.
+/// Consecutive records of the settings log. An empty list confirms that the receiver is up to date.
 struct settings_records
 {
     std::vector<settings_record> records;
 };
 
-/// Asks a peer for records after an offset, or for its tree.
+/// Requests the records after an offset from a peer, or its whole tree if it lacks these records or
+/// the offset is 0.
 struct settings_request
 {
     std::uint64_t afterOffset = 0;
 };
 
-/// A whole tree at an offset, as canonical JSON.
+/// A part of the settings tree at an offset, as a snapshot record.
 struct settings_snapshot
 {
     std::uint64_t offset = 0;
     std::string tree;
 };
 
-/// Everything that one instance can say to another, apart from hello, heartbeat and drain notice,
-/// which the peers service sends itself.
+/// Any message between services of two instances. The peers service itself sends hello, heartbeat
+/// and drain notice.
 using peer_message
     = std::variant<run_submit, run_cancel, run_event, endpoint_status, loan_request, loan_grant,
                    settings_records, settings_request, settings_snapshot>;
@@ -74,7 +75,7 @@
     peer_message message;
 };
 
-/// A message of a peer for the service that handles its type.
+/// A message from a peer, delivered to the services that handle its type.
 template <typename Message>
 struct peer_received
 {
@@ -82,7 +83,7 @@
     Message message;
 };
 
-/// Which instances are live, from this instance's point of view. Sent on every change.
+/// The live and draining instances as seen by this instance. Sent on every change.
 struct peers_changed
 {
     /// Includes this instance unless it is draining; ordered by name.
@@ -92,31 +93,31 @@
     friend auto operator<=>(const peers_changed &, const peers_changed &) = default;
 };
 
-/// Sending to a peer failed: messages that were queued for it may not have arrived.
+/// Sending to a peer failed or its connection was lost: messages sent before may not have arrived.
 struct peer_lost
 {
     std::string instance;
 };
 
-/// Messages reach the peer from now on: it connected, or connected anew. What it may have missed
-/// before has to be sent again.
+/// The peer connected or reconnected and can be reached. Messages that it may have missed must be
+/// sent again.
 struct peer_connected
 {
     std::string instance;
 };
 
-/// Version of the settings tree that a peer has, from its heartbeat.
+/// Settings version that a peer reported in its heartbeat.
 struct peer_version
 {
     std::string instance;
     std::uint64_t version = 0;
 };
 
-/// A newer process runs under this instance's name, so that this one must stop.
+/// A newer process runs under the name of this instance; this process must stop.
 struct superseded
 { };
 
-/// The process did not run for longer than the limit of the kernel.
+/// The process was suspended for longer than the pause limit of the event loop.
 struct paused
 {
     core::duration gap{};
--- a/corneltally/entry/peers_service.cpp
+++ b/corneltally/entry/peers_service.cpp
@@ -17,10 +17,10 @@
 
 constexpr core::duration cTickPeriod = 50ms;
 constexpr core::duration cHeartbeatPeriod = 250ms;
-/// Least time between two attempts to connect to the same peer.
+/// Minimum time between two attempts to connect to the same peer.
 constexpr core::duration cDialPeriod = 500ms;
-/// Longest time that a lone instance waits for its peers after a start or a pause before it takes
-/// them as down. It covers the silence limit and one more attempt to connect.
+/// Maximum time after a start or a pause that an instance waits for its peers before it considers
+/// them down. It covers the silence limit and one more attempt to connect.
 constexpr core::duration cViewHold = membership::peer_table::cDownAfter + 500ms;
 
 std::string joinAsJson(const std::vector<std::string> &inNames)
@@ -39,7 +39,7 @@
     return text;
 }
 
-/// Tells the origin of a run that its answer does not fit into a frame.
+/// Makes the end of a run whose answer exceeds the frame size limit.
 peer_message makeTooLongEnd(const run_event &inEvent)
 {
     return run_event{inEvent.requestId,
@@ -65,7 +65,7 @@
     mRegistry.handle<catalog_changed>(
         name(), [this](const catalog_changed &inChange) { applyCatalog(inChange); });
     mRegistry.handle<paused>(name(), [this](const paused &) {
-        // Silence during the own pause says nothing about the peers.
+        // Silence during a pause of this process does not show that peers are down.
         mViewHoldUntil = core::boot_clock::now() + cViewHold;
     });
     mRegistry.handle<drain_started>(name(), [this](const drain_started &) {
@@ -86,8 +86,8 @@
 
 void peers_service::start()
 {
-    // Until the first tree is loaded, the addresses of the process settings are all that is known,
-    // and a peer may be the only source of the tree.
+    // Until the first settings tree is loaded, only the addresses of the process settings are
+    // known, and a peer may be the only source of the tree.
     std::vector<std::string> names{mOptions.instance};
     for (const auto &[instance, address] : mOptions.addresses) {
         names.push_back(instance);
@@ -166,7 +166,7 @@
     for (auto &entry : mRemotes) {
         const std::string &instance = entry.first;
         remote &target = entry.second;
-        // A connection that still makes progress, or one that is still being opened, is enough.
+        // One connection that makes progress or is being opened is sufficient.
         const bool connected = std::ranges::any_of(mLinks, [&](const auto &inEntry) {
             const link &candidate = inEntry.second;
             return candidate.dialed && candidate.instance == instance
@@ -325,7 +325,7 @@
     }
     source.instance = inHello.instance;
     if (!source.helloSent) {
-        // Also tells an outdated process which incarnation replaced it.
+        // The hello also informs an outdated process of the incarnation that replaced it.
         source.connection->send(encodeHello(source.instance));
         source.helloSent = true;
     }
@@ -334,7 +334,7 @@
         return;
     }
     if (outcome == membership::heard_outcome::ignored) {
-        // The peer tries again, so that it is accepted once the tree names it.
+        // The peer connects again and is accepted once the settings tree names it.
         closeLink(inLink, "the settings tree does not name the peer");
         return;
     }
@@ -383,7 +383,7 @@
     const bool concernsRun = std::holds_alternative<run_submit>(inSend.message)
         || std::holds_alternative<run_cancel>(inSend.message)
         || std::holds_alternative<run_event>(inSend.message);
-    // Other messages are repeated by their senders.
+    // Senders repeat all other messages.
     if (sendTo(inSend.instance, body) || !concernsRun)
         return;
     if (body.size() <= peer::cMaxFrameBytes)
--- a/corneltally/entry/peers_service.h
+++ b/corneltally/entry/peers_service.h
@@ -20,21 +20,21 @@
 
 namespace corneltally::entry {
 
-/// What the peers service takes from the process settings.
+/// Parameters of the peers service.
 struct peers_options
 {
     std::string instance;
     std::uint64_t incarnation = 0;
     http::address listen;
-    /// Replaces the addresses of the settings tree, by instance name.
+    /// Addresses by instance name that override those of the settings tree.
     std::map<std::string, std::string> addresses;
 };
 
-/// Holds the connections to the other instances, knows which of them are live, and passes their
-/// messages to the services of this process.
+/// Maintains the connections to the other instances, determines which of them are live, and
+/// dispatches their messages to the services of this process.
 ///
-/// Both ends of a pair connect to each other and either connection carries messages both ways, so
-/// that one that went silent is replaced while the other one serves.
+/// Both instances of a pair connect to each other, and both connections carry messages in both
+/// directions. If one becomes silent, the other is used while it is replaced.
 class peers_service : public kernel::service
 {
 public:
@@ -45,7 +45,7 @@
     void start() override;
     std::string dump() const override;
 
-    /// Binds the listener; returns false if the address is taken.
+    /// Binds the listener. Returns false if the address is in use.
     bool listen();
     unsigned short port() const { return mListener.port(); }
 
@@ -55,20 +55,21 @@
     struct link
     {
         std::unique_ptr<peer::connection> connection;
-        /// Expected before the hello of the other end, confirmed after it; empty on an accepted
-        /// connection before its hello.
+        /// Name of the peer: expected until its hello arrives, confirmed by it. Empty on an
+        /// accepted connection before the hello.
         std::string instance;
         std::uint64_t incarnation = 0;
         bool dialed = false;
         bool helloSent = false;
-        /// From an older process of the instance: it only learns which one replaced it.
+        /// The peer is an outdated process of its instance; its messages are ignored, and the hello
+        /// sent to it names the incarnation that replaced it.
         bool refused = false;
     };
 
     struct remote
     {
         http::address address;
-        /// The connection that messages are sent on; 0 if there is none.
+        /// Connection that carries outgoing messages; 0 if there is none.
         link_id active = 0;
         std::optional<core::time_point> lastDial;
     };
@@ -106,7 +107,7 @@
     link_id mNextLink = 1;
     std::uint64_t mSettingsVersion = 0;
     core::time_point mLastHeartbeat;
-    /// No view is published before this time, so that peers can connect first.
+    /// An incomplete view is not published before this time, so that peers can connect first.
     std::optional<core::time_point> mViewHoldUntil;
     std::optional<peers_changed> mPublished;
     bool mSupersededReported = false;
--- a/corneltally/entry/settings_messages.h
+++ b/corneltally/entry/settings_messages.h
@@ -13,21 +13,21 @@
 
 namespace corneltally::entry {
 
-/// A new version of the settings tree is in force. Sent to all services; shared since the catalog
-/// is immutable and large.
+/// A new version of the settings tree or of the leaving endpoints is in effect. Broadcast to all
+/// services; shared since the catalog is immutable and large.
 struct catalog_changed
 {
     std::shared_ptr<const settings::catalog> catalog;
 };
 
-/// Processes that the platform reports as leaving. The settings_sync service marks the endpoints
-/// among them as leaving in the catalog.
+/// Names of the processes that the platform reports as leaving. The settings_sync service marks the
+/// endpoints among them as leaving in the catalog.
 struct endpoints_leaving
 {
     std::set<std::string, std::less<>> names;
 };
 
-/// The tree was confirmed to be current by the log or by a peer that reads the log.
+/// The log, or a peer that reads it, confirmed that the settings tree is current.
 struct settings_confirmed
 {
     core::time_point at;
--- a/corneltally/entry/settings_publisher.h
+++ b/corneltally/entry/settings_publisher.h
@@ -20,7 +20,7 @@
 enum class publish_outcome : std::uint8_t {
     accepted,
     rejected,
-    /// Certain: the change is not on the log.
+    /// The change is certainly not on the log.
     not_published,
     /// The change may be on the log, or its verdict could not be read.
     unknown,
@@ -34,26 +34,26 @@
     core::error reason;
 };
 
-/// Publishes changes for an operator: follows the log from its start, appends a change and reports
-/// the verdict that every reader reaches. A lost answer is resolved by looking the change id up on
-/// the log before the record is sent again.
+/// Publishes changes for an operator: reads the log from its start, appends a change and reports
+/// the verdict that every reader of the log reaches. After a lost answer it looks up the change id
+/// on the log before it sends the record again.
 template <platform::log_service Log>
 class settings_publisher
 {
 public:
-    /// Gives up after the time limit for loading and for each change.
+    /// inTimeLimit applies to loading and to each change.
     settings_publisher(kernel::event_loop &inLoop, Log &inLog, core::duration inTimeLimit);
 
-    /// Reads the log to its end. The handler gets the reason if that failed.
+    /// Reads the log to its end. The handler receives the reason of a failure.
     void load(std::function<void(const std::optional<core::error> &)> inHandler);
 
-    /// Publishes one change that has an id and a base; load() has to have succeeded.
+    /// Publishes one change that has an id and a base; load() must have succeeded.
     void publish(const settings::change &inChange,
                  std::function<void(const publish_result &)> inHandler);
 
     const settings::settings_replica &replica() const { return mReplica; }
 
-    /// Verdict on a change that is on the log.
+    /// Returns the verdict on a change; empty if the change was not found on the log.
     std::optional<publish_result> findVerdict(const std::string &inId) const;
 
 private:
@@ -183,7 +183,7 @@
         mReadFrom = record.offset + 1;
         for (const auto &verdict : mReplica.addLogRecord(record.offset, record.data, 0)) {
             const bool isAccepted = verdict.outcome == settings::record_outcome::accepted;
-            // The first record with an id decides; further copies of it are rejected.
+            // Only the first record with an id counts; readers reject further copies.
             if (!verdict.changeId.empty())
                 mVerdicts.emplace(verdict.changeId,
                                   publish_result{isAccepted ? publish_outcome::accepted
@@ -220,8 +220,8 @@
     } else if (mAppendedOffset) {
         runLater([this] { readNextPage(); });
     } else {
-        // The end of the log was read after the append ended, and the change is not there. A copy
-        // that arrives even later is rejected by its id and its base.
+        // The log was read to its end after the append returned, and the change is not on it. If
+        // the lost record still arrives, readers reject the second copy by its id and its base.
         runLater([this] { append(); });
     }
 }
@@ -236,7 +236,7 @@
 template <platform::log_service Log>
 void settings_publisher<Log>::runLater(std::function<void()> inStep)
 {
-    // Spreads the calls of an operator's command over an outage of the log.
+    // Limits the call rate of an operator's command during an outage of the log.
     constexpr core::duration cRetryDelay = std::chrono::milliseconds(200);
     mNextStep = std::move(inStep);
     mDelay.startOnce(cRetryDelay);
--- a/corneltally/entry/settings_sync_options.h
+++ b/corneltally/entry/settings_sync_options.h
@@ -13,15 +13,15 @@
 {
     /// Name of this instance.
     std::string instance;
-    /// Replaces the addresses of the settings tree, by endpoint name.
+    /// Addresses by endpoint name that override those of the settings tree.
     std::map<std::string, std::string, std::less<>> endpointAddresses;
-    /// How long a read waits at the log for a record. The tree is confirmed once per read. A silent
-    /// connection is given up 2 s later, which must leave time to read a change within 3 s.
+    /// How long a read waits at the log for a record. Each read confirms the tree once. A silent
+    /// connection is abandoned 2 s later, and a change must still be read within 3 s.
     std::chrono::milliseconds logWait{500};
-    /// First and longest delay before the log is tried again.
+    /// Minimum and maximum delay before the next attempt to read the log.
     core::duration minRetryDelay = std::chrono::milliseconds(100);
     core::duration maxRetryDelay = std::chrono::seconds(2);
-    /// Period in which peers are asked for what is missing.
+    /// Period of requests to peers for missing records.
     core::duration peerPeriod = std::chrono::milliseconds(500);
     core::duration snapshotCheckPeriod = std::chrono::seconds(5);
 };
--- a/corneltally/entry/settings_sync_service.h
+++ b/corneltally/entry/settings_sync_service.h
@@ -25,8 +25,8 @@
 
 namespace corneltally::entry {
 
-/// Keeps the settings tree current from the log and from peers, and announces each version to all
-/// services. Either source is enough: an instance that is cut off from the platform follows its
+/// Keeps the settings tree up to date from the log and from peers, and broadcasts each version to
+/// all services. One source is sufficient: an instance that cannot reach the platform follows its
 /// peers.
 template <platform::log_service Log>
 class settings_sync_service : public kernel::service
@@ -71,7 +71,7 @@
     bool mLogEndSeen = false;
     core::duration mRetryDelay;
     std::optional<std::uint64_t> mPublished;
-    /// The catalog in force; the next one shares what does not change.
+    /// The current catalog; its successor shares the unchanged parts.
     std::shared_ptr<const settings::catalog> mCatalog;
     std::optional<core::time_point> mConfirmed;
     /// When the log itself last confirmed the tree.
@@ -94,14 +94,14 @@
 namespace settings_sync_detail {
 
 constexpr std::string_view cStream = "settings";
-/// Bytes of records in one message to a peer, well below the limit of a frame.
+/// Maximum bytes of records in one message to a peer, well below the frame size limit.
 constexpr std::size_t cMaxMessageBytes = 512 * 1024;
-/// A log confirmation that is older than this is not passed on to peers.
+/// Maximum age of a log confirmation that is forwarded to peers.
 constexpr core::duration cMaxForwardAge = std::chrono::seconds(2);
-/// Greatest age of what a peer confirms: its own confirmation plus the time on a connection, which
-/// is closed after 2 s of silence.
+/// Maximum age of a confirmation by a peer: the age at which the peer still forwards it plus the
+/// time in transit on a connection, which is closed after 2 s of silence.
 constexpr core::duration cMaxPeerConfirmationAge = std::chrono::seconds(4);
-/// Time for a snapshot to come back from the log before another one may be written.
+/// Minimum time between two snapshots, in which the first one can be read back from the log.
 constexpr core::duration cMinSnapshotInterval = std::chrono::seconds(30);
 
 } // namespace settings_sync_detail
@@ -138,7 +138,7 @@
     mRegistry.handle<peers_changed>(
         name(), [this](const peers_changed &inChange) { mLive = inChange.live; });
     mRegistry.handle<paused>(name(), [this](const paused &) {
-        // A read from before the pause would wait for an answer that may never come.
+        // The answer to a read that was sent before the pause may never arrive.
         mLog->cancelAll();
         mSnapshotParts.clear();
         readLog();
@@ -157,7 +157,7 @@
 void settings_sync_service<Log>::readLog()
 {
     mRetryTimer.cancel();
-    // Until the end of the log was seen there is nothing to wait for.
+    // Reads do not wait for new records until the end of the log was reached.
     const std::chrono::milliseconds wait
         = mLogEndSeen && mLogReachable ? mOptions.logWait : std::chrono::milliseconds(0);
     mLog->read(
@@ -210,7 +210,7 @@
         return;
     }
     publish();
-    // A log that ends before what the tree covers does not confirm the tree.
+    // A log that ends before the offset that the tree covers does not confirm the tree.
     if (inResult.next < mReplica.nextOffset())
         return;
     mLogConfirmed = inResult.sentAt;
@@ -224,7 +224,7 @@
         core::logEvent(core::log_level::warning, "settings_log_unreachable",
                        {{"reason", inReason.message}, {"remedy", inReason.remedy}});
     mLogReachable = false;
-    // Full jitter, so that instances do not return all at once after an outage.
+    // The random delay keeps instances from reconnecting all at once after an outage.
     std::uniform_int_distribution<core::duration::rep> delay(mOptions.minRetryDelay.count() / 2,
                                                              mRetryDelay.count());
     mRetryTimer.startOnce(core::duration(delay(mRandom)));
@@ -239,7 +239,7 @@
     if (next == 0 || after >= next)
         return;
     const auto records = mReplica.recordsAfter(after, settings_sync_detail::cMaxMessageBytes);
-    // A peer without a tree gets the newest one at once, not its history.
+    // A peer without a tree receives the latest tree instead of its history.
     if (!records || (after == 0 && mReplica.tree().version() > 0)) {
         for (std::string &part : mReplica.snapshotRecords())
             mRegistry.post("peers",
@@ -251,7 +251,7 @@
         answer.records.push_back({record.offset, record.data});
     const bool isConfirmed = mLogConfirmed
         && core::boot_clock::now() - *mLogConfirmed <= settings_sync_detail::cMaxForwardAge;
-    // An answer without records says that the peer has what the log has.
+    // An answer without records confirms that the peer is up to date with the log.
     if (!answer.records.empty() || isConfirmed)
         mRegistry.post("peers", peer_send{inRequest.instance, answer});
 }
@@ -290,7 +290,7 @@
 void settings_sync_service<Log>::forwardToPeers(const std::vector<platform::log_record> &inRecords,
                                                 std::uint64_t inFrom)
 {
-    // While the history is read at the start, peers know it already.
+    // Peers already have the history that is read at the start.
     if (!mLogEndSeen)
         return;
     settings_records message;
@@ -332,7 +332,7 @@
         (isAccepted ? mAccepted : mRejected) += 1;
         if (!isAccepted)
             mLastRejection = verdict.changeId + ": " + verdict.reason.message;
-        // The history that is read at the start was logged when it happened.
+        // Changes of the history that is read at the start were logged when they took effect.
         if (!mPublished)
             continue;
         core::logEvent(isAccepted ? core::log_level::info : core::log_level::warning,
@@ -388,7 +388,7 @@
         return;
     mNextSnapshot = now + settings_sync_detail::cMinSnapshotInterval;
     mSnapshotParts = mReplica.snapshotRecords();
-    // The last part is appended first; the order does not matter to readers.
+    // Parts are appended from last to first; readers accept any order.
     appendSnapshot();
 }
 
@@ -398,7 +398,7 @@
     mLog->append(std::string(settings_sync_detail::cStream), mSnapshotParts.back(),
                  [this](const platform::append_result &inResult) {
                      if (inResult.outcome != platform::append_outcome::appended) {
-                         // A part that is on the log all the same does no harm.
+                         // A part that was written despite the failure is harmless.
                          core::logEvent(core::log_level::warning, "settings_snapshot_failed",
                                         {{"reason", inResult.reason.message}});
                          mSnapshotParts.clear();
