--- a/tests/unit/entry_peer_codec_test.cpp
+++ b/tests/unit/entry_peer_codec_test.cpp
@@ -1,5 +1,5 @@
-// Guards against messages that change on their way between instances and against frames that are
-// read beyond their end.
+// Guards against messages that are changed by encoding and decoding, and against reads beyond the
+// end of a frame.
 
 #include "corneltally/entry/peer_codec.h"
 
@@ -70,14 +70,14 @@
 
 } // namespace
 
-TEST_CASE("every message survives the way through a frame")
+TEST_CASE("every message is unchanged by encoding and decoding")
 {
     for (const wire_message &message : sampleMessages()) {
         const std::string frame = encodePeerFrame(message, cNow);
         const core::result<wire_message> decoded = decodePeerFrame(frame, cNow);
         REQUIRE(decoded.hasValue());
         CHECK(decoded->index() == message.index());
-        // A second way gives the same bytes only if no field was lost.
+        // Encoding the decoded message gives the same bytes only if no field was lost.
         CHECK(encodePeerFrame(*decoded, cNow) == frame);
     }
 }
@@ -116,11 +116,11 @@
     }
 }
 
-TEST_CASE("a truncated frame is refused")
+TEST_CASE("a truncated frame is rejected")
 {
     for (const wire_message &message : sampleMessages()) {
         const std::string frame = encodePeerFrame(message, cNow);
-        // The last bytes may be padding; a frame that lost more than that cannot be whole.
+        // The last bytes may be padding; a frame that lost more than those is incomplete.
         for (std::size_t length = 0; length + 16 < frame.size(); ++length) {
             const std::string cut = frame.substr(0, length);
             CHECK_FALSE(decodePeerFrame(cut, cNow).hasValue());
@@ -128,7 +128,7 @@
     }
 }
 
-TEST_CASE("corrupted frames are refused or read without leaving the frame")
+TEST_CASE("corrupted frames are rejected or decoded without reads beyond the frame")
 {
     std::mt19937 random(7);
     for (const wire_message &message : sampleMessages()) {
@@ -145,7 +145,7 @@
     }
 }
 
-TEST_CASE("values that no enumeration has are refused")
+TEST_CASE("values outside of their enumeration are rejected")
 {
     const std::string frame = encodePeerFrame(
         peer_message(run_event{"r", run_end{run_outcome::unknown, {}, 0, 0, ""}}), cNow);
--- a/tests/unit/entry_peers_test.cpp
+++ b/tests/unit/entry_peers_test.cpp
@@ -1,5 +1,5 @@
-// Guards against peers that are wrongly taken as live or lost: invalid frames, restarts, two
-// processes under one name, and connections that went silent.
+// Guards against peers that are wrongly considered live or lost: after invalid frames, restarts,
+// two processes with one name, and silent connections.
 
 #include "corneltally/entry/peer_codec.h"
 #include "corneltally/entry/peers_service.h"
@@ -22,7 +22,7 @@
 
 namespace {
 
-/// A connection of the test in the role of a peer.
+/// A connection by which the test acts as a peer.
 struct raw_peer
 {
     std::unique_ptr<peer::connection> connection;
@@ -60,7 +60,7 @@
     kernel::timer beat{loop, [this] { sendHeartbeats(); }};
     std::function<bool()> condition;
     std::vector<std::unique_ptr<raw_peer>> accepted;
-    /// Stands for the listener of entry-2.
+    /// The listener of entry-2.
     peer::listener listener{loop, [this](std::unique_ptr<peer::connection> inConnection) {
                                 accepted.push_back(
                                     std::make_unique<raw_peer>(std::move(inConnection)));
@@ -72,7 +72,7 @@
     std::vector<settings_request> requests;
     bool isSuperseded = false;
     std::uint64_t heartbeatFrom = 0;
-    /// Connections below this number went silent.
+    /// Connections with an index below this one are silent.
     std::size_t silentBelow = 0;
 
     fixture()
@@ -145,7 +145,7 @@
 
 } // namespace
 
-TEST_CASE("a lone instance counts itself as live only after its peers had time to connect")
+TEST_CASE("an instance without peers publishes its view only after the peers had time to connect")
 {
     fixture test;
     const core::time_point start = core::boot_clock::now();
@@ -154,7 +154,7 @@
     CHECK(test.view->live == std::vector<std::string>{"entry-1"});
 }
 
-TEST_CASE("messages pass in both directions and a silent peer is down after its time")
+TEST_CASE("messages pass in both directions and a silent peer is reported as down")
 {
     fixture test;
     test.startPeer(500);
@@ -172,7 +172,7 @@
     CHECK(test.lost.front() == "entry-2");
 }
 
-TEST_CASE("a connection that went silent is replaced while its peer stays live")
+TEST_CASE("a silent connection is replaced while its peer stays live")
 {
     fixture test;
     test.startPeer(500);
@@ -222,7 +222,7 @@
     CHECK(test.requests.size() == 1);
 }
 
-TEST_CASE("a process learns that a newer one has its name")
+TEST_CASE("a process is notified that a newer process has its name")
 {
     fixture test;
     const auto reporter = test.dial();
--- a/tests/unit/ownership_mock_engine.h
+++ b/tests/unit/ownership_mock_engine.h
@@ -13,7 +13,8 @@
 
 namespace corneltally::tests {
 
-/// The endpoint itself: what several owners' connections lead to. Counts violations of the rules.
+/// An endpoint that is shared by the connections of several owners. Counts unloads of adapters in
+/// use.
 struct mock_endpoint
 {
     struct stream
@@ -64,7 +65,7 @@
         std::string kind;
         std::string subject;
         std::uint64_t fence = 0;
-        /// Takes effect at the endpoint and returns what answers the call.
+        /// Applies the call at the endpoint and returns a function that delivers the answer.
         std::function<std::function<void()>()> perform;
         std::function<void()> fail;
     };
@@ -130,7 +131,7 @@
 
     void cancelCall(std::uint64_t inCall)
     {
-        // The connection is closed; bytes that were sent may still arrive.
+        // The connection is closed, but the request may still arrive at the endpoint.
         for (call &entry : calls) {
             if (entry.id == inCall)
                 entry.fail = [] {};
@@ -222,7 +223,7 @@
             reply();
     }
 
-    /// The call takes effect, but its answer is lost.
+    /// Applies a call and loses its answer.
     void loseAnswer(std::size_t inIndex)
     {
         call entry = take(inIndex);
@@ -230,7 +231,8 @@
         entry.fail();
     }
 
-    /// The owner gives the call up; the bytes stay on their way and take effect later.
+    /// Fails a call for the owner and returns it; the request is in transit and may still be
+    /// applied.
     call interrupt(std::size_t inIndex)
     {
         call entry = take(inIndex);
@@ -239,7 +241,7 @@
         return entry;
     }
 
-    /// Delivers all calls until none is left.
+    /// Delivers calls until none is left.
     void deliverAll()
     {
         while (!calls.empty())
@@ -282,7 +284,7 @@
         events.onEnd({endpoint::engine_outcome::completed, static_cast<double>(stream.parts), ""});
     }
 
-    /// The connection of a running stream breaks; the stream goes on.
+    /// Interrupts the connection of a running stream; the stream continues at the endpoint.
     void breakConnection(const std::string &inRequestId)
     {
         const auto node = open.extract(inRequestId);
--- a/tests/unit/ownership_owned_endpoint_test.cpp
+++ b/tests/unit/ownership_owned_endpoint_test.cpp
@@ -1,5 +1,6 @@
 // Guards against an owner that unloads an adapter in use, runs a request twice, reports "not run"
-// for one that ran, or keeps commanding an endpoint that another instance has taken over.
+// for a request that ran, or keeps sending commands to an endpoint that another instance has taken
+// over.
 
 #include "corneltally/entry/owned_endpoint.h"
 #include "corneltally/ownership/lease_table.h"
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Lets everything that is under way take effect, for some time.
+    /// Advances the clock, delivers all calls to the endpoint and answers requests for permits.
     void runFor(core::duration inTime = 1s)
     {
         for (const core::time_point end = now + inTime; now < end; now += 50ms) {
@@ -137,7 +138,7 @@
 
 } // namespace
 
-TEST_CASE("an owner takes runs only after it has a fencing number and a report")
+TEST_CASE("an owner accepts runs only after it has a fencing number and a report")
 {
     single_owner test({"a@1"});
     owner_fixture &owner = test.fixture;
@@ -172,7 +173,7 @@
     CHECK_FALSE(owner.owner.hasRuns());
 }
 
-TEST_CASE("a missing adapter is loaded after admission, and the run starts then")
+TEST_CASE("a missing adapter is loaded after admission, then the run starts")
 {
     single_owner test;
     owner_fixture &owner = test.fixture;
@@ -220,7 +221,7 @@
     CHECK(test.endpoint.starts["r"] == 1);
 }
 
-TEST_CASE("a report from before the fencing number proves nothing")
+TEST_CASE("a report from before the fencing number was registered does not end a quarantine")
 {
     single_owner test({"a@1", "b@1"});
     owner_fixture &owner = test.fixture;
@@ -233,7 +234,7 @@
     CHECK(test.endpoint.resident.contains("c@1"));
 }
 
-TEST_CASE("a refusal by fencing number ends ownership and says that nothing ran")
+TEST_CASE("a run rejected for its fencing number ends ownership and is reported as not run")
 {
     single_owner test({"a@1"});
     owner_fixture &owner = test.fixture;
@@ -245,7 +246,7 @@
     CHECK(owner.endOf("r")->outcome == run_outcome::not_run);
     CHECK_FALSE(owner.owner.isOwning());
     CHECK(test.endpoint.starts.empty());
-    // The rule still names this instance, so that it tries again with a greater number.
+    // The endpoint is still assigned to this instance, which acquires it with a greater number.
     owner.runFor(2s);
     CHECK(owner.owner.isOwning());
     CHECK(test.endpoint.highest > 5000);
@@ -264,7 +265,7 @@
     CHECK(owner.owner.status()->resident.empty());
 }
 
-TEST_CASE("an interrupted stream is continued at the part that is missing")
+TEST_CASE("an interrupted stream is resumed at the first missing part")
 {
     single_owner test({"a@1"});
     owner_fixture &owner = test.fixture;
@@ -299,7 +300,7 @@
     REQUIRE(onItsWay.kind == "run");
     REQUIRE(owner.endOf("r") != nullptr);
     CHECK(owner.endOf("r")->outcome == run_outcome::unknown);
-    // Before the new number is registered, nothing is unloaded.
+    // No adapter is unloaded before the new number is registered.
     owner.submit("s", "c");
     owner.submit("t", "d");
     CHECK_FALSE(owner.engine.has("unload"));
@@ -313,7 +314,7 @@
     CHECK(test.endpoint.starts["t"] == 1);
 }
 
-TEST_CASE("an unload whose answer was lost does not hit a run that starts later")
+TEST_CASE("an unload whose answer was lost does not affect a run that starts later")
 {
     single_owner test({"a@1", "b@1"});
     owner_fixture &owner = test.fixture;
@@ -339,7 +340,7 @@
     CHECK(test.endpoint.staleRefusals == 1);
 }
 
-TEST_CASE("a caller that leaves frees its place and the adapter stays in use until a report")
+TEST_CASE("a cancelled run frees its slot and its adapter stays in use until a report")
 {
     single_owner test({"a@1", "b@1"});
     owner_fixture &owner = test.fixture;
@@ -352,7 +353,7 @@
     owner.owner.cancel("r", "entry-9");
     CHECK(owner.owner.status()->running == 1);
     CHECK(owner.engine.cancelled == std::vector<std::string>{"r"});
-    // The cancellation has not reached the endpoint, and the last report is from before the run.
+    // The cancellation has not reached the endpoint, and the last report precedes the run.
     owner.submit("s", "c");
     owner.answerPermits();
     CHECK_FALSE(owner.engine.has("unload"));
@@ -362,7 +363,7 @@
     CHECK(test.endpoint.resident == std::set<std::string>{"b@1", "c@1"});
 }
 
-TEST_CASE("waiting runs end at their deadline and beyond the bound as not run")
+TEST_CASE("queued runs past their deadline or beyond the queue limit end as not run")
 {
     core::time_point now(1000s);
     mock_endpoint endpoint{.resident = {"a@1"}};
@@ -382,7 +383,7 @@
     CHECK(owner.endOf("r1")->error.kind == core::error_kind::timeout);
 }
 
-TEST_CASE("a draining owner returns waiting runs and finishes running ones")
+TEST_CASE("a draining owner returns queued runs and finishes running ones")
 {
     single_owner test({"a@1"});
     owner_fixture &owner = test.fixture;
@@ -402,7 +403,7 @@
     CHECK_FALSE(owner.owner.hasRuns());
 }
 
-TEST_CASE("a new owner continues a stream of the old one, ahead of waiting work")
+TEST_CASE("a new owner resumes a stream of the old one ahead of queued runs")
 {
     core::time_point now(1000s);
     mock_endpoint endpoint{.resident = {"a@1"}};
@@ -427,7 +428,7 @@
     CHECK(endpoint.starts["r"] == 1);
 }
 
-TEST_CASE("a pause drops ownership and waiting runs; a new number is acquired")
+TEST_CASE("a pause drops ownership and queued runs; a new fencing number is acquired")
 {
     single_owner test({"a@1"});
     owner_fixture &owner = test.fixture;
@@ -486,7 +487,7 @@
     CHECK(owner.owner.status()->accepting);
 }
 
-TEST_CASE("random schedules with two owners, lost answers and late commands keep the guarantees")
+TEST_CASE("random schedules with two owners, lost answers and late commands violate no guarantee")
 {
     int completedRuns = 0;
     int unloads = 0;
@@ -531,7 +532,7 @@
                         owner.engine.advance(id, random() % 2 == 0);
                 }
             }
-            // Streams whose connection is gone end by themselves.
+            // Streams whose connection is closed end after a random time.
             for (auto &[id, stream] : endpoint.streams) {
                 if (stream.running && random() % 20 == 0 && !first.engine.open.contains(id)
                     && !second.engine.open.contains(id))
--- a/tests/unit/settings_publisher_test.cpp
+++ b/tests/unit/settings_publisher_test.cpp
@@ -1,5 +1,5 @@
-// Guards against a change that is applied twice or reported wrongly when the log's answer is lost,
-// and against reports that differ from the verdict of the log's readers.
+// Guards against a change that is applied twice or reported wrongly after an answer of the log was
+// lost, and against reports that differ from the verdict of the log's readers.
 
 #include "corneltally/entry/settings_publisher.h"
 #include "corneltally/kernel/event_loop.h"
@@ -18,13 +18,13 @@
 
 namespace {
 
-/// What the mock log does with one append.
+/// Fault of the mock log at one append.
 enum class append_fault {
     none,
     refused,
-    /// The record is written, the answer is lost.
+    /// The record is written and the answer is lost.
     answer_lost,
-    /// Neither is the record written nor does an answer arrive.
+    /// The record is not written and no answer arrives.
     record_lost,
     /// The record is written only when the next append arrives.
     record_late,
@@ -42,7 +42,7 @@
     std::uint64_t first = 1;
     int failingReads = 0;
     int appends = 0;
-    /// Runs before each append takes effect, as another operator would.
+    /// Called before each append takes effect, to act as another operator.
     std::function<void()> beforeAppend;
 
     void append(const std::string &, const std::string &inRecord,
@@ -86,7 +86,7 @@
             result.outcome = platform::read_outcome::records;
             result.first = first;
             result.next = records.size() + 1;
-            // Small pages, so that reading takes several steps.
+            // Small pages make the publisher read several of them.
             for (std::uint64_t offset = std::max<std::uint64_t>(1, inRequest.from);
                  offset < result.next && result.records.size() < 2; ++offset)
                 result.records.push_back({offset, 0, records[offset - 1]});
@@ -107,7 +107,7 @@
     mock_log log{loop};
     entry::settings_publisher<mock_log> publisher;
 
-    /// Tests that run into the time limit choose a short one.
+    /// Tests that reach the time limit pass a short one.
     explicit fixture(core::duration inTimeLimit = 20s)
         : publisher(loop, log, inTimeLimit)
     { }
@@ -143,7 +143,7 @@
         return result;
     }
 
-    /// Versions of the adapter in the order in which readers see them take effect.
+    /// Number of changes that a reader of the log accepts.
     int acceptedCount() const
     {
         settings::settings_replica reader;
@@ -170,7 +170,7 @@
     CHECK(test.acceptedCount() == 2);
 }
 
-TEST_CASE("a change that loses against another operator is reported as rejected with the reason")
+TEST_CASE("a change that conflicts with another operator's is reported as rejected with the reason")
 {
     fixture test;
     REQUIRE_FALSE(test.load().has_value());
@@ -188,7 +188,7 @@
     fixture test;
     REQUIRE_FALSE(test.load().has_value());
     test.log.faults = {append_fault::answer_lost};
-    // The look-up itself has to survive an outage before anything may be sent again.
+    // The look-up must succeed after an outage before the record may be sent again.
     test.log.failingReads = 3;
     const auto result = test.publish(test.makeChange("c1", "1"));
     CHECK(result.outcome == publish_outcome::accepted);
@@ -227,14 +227,14 @@
     CHECK(test.log.records.empty());
 }
 
-TEST_CASE("a refusal after a lost answer stays unknown until the log was read")
+TEST_CASE("the outcome after a lost answer is unknown until the log was read")
 {
     fixture test(500ms);
     REQUIRE_FALSE(test.load().has_value());
     test.log.faults = {append_fault::answer_lost};
     test.log.failingReads = 1'000;
     CHECK(test.publish(test.makeChange("c1", "1")).outcome == publish_outcome::unknown);
-    // Publishing under the same id later tells what happened and appends nothing.
+    // Publishing with the same id later reports the verdict and appends nothing.
     test.log.failingReads = 0;
     entry::settings_publisher<mock_log> later(test.loop, test.log, 20s);
     later.load([&](const auto &inReason) {
@@ -253,7 +253,7 @@
     CHECK(test.log.appends == 1);
 }
 
-TEST_CASE("loading fails with a remedy if the log is down or does not reach back far enough")
+TEST_CASE("loading fails with a remedy if the log is down or its first records expired")
 {
     fixture test(500ms);
     SECTION("down")
@@ -303,7 +303,7 @@
     CHECK(lines == std::vector<int>{1, 2, 4, 6});
 }
 
-TEST_CASE("a whole tree becomes changes that are valid one after the other")
+TEST_CASE("a whole tree is split into changes that apply one after the other")
 {
     std::string text = "max_queue = 7\n[accounts]\nburst_tokens = 1\nrate_tokens_per_second = 1\n"
                        "[accounts.empty]\n[accounts.empty.keys.k1]\ndigest = \""
--- a/tests/unit/settings_sync_test.cpp
+++ b/tests/unit/settings_sync_test.cpp
@@ -1,5 +1,5 @@
-// Guards against an instance that stays on an old tree although the log or one of its peers has a
-// newer one, and against confirmations that nobody with a view of the log gave.
+// Guards against an instance that keeps an old tree although the log or a peer has a newer one, and
+// against confirmations that do not originate from a reader of the log.
 
 #include "corneltally/entry/settings_sync_service.h"
 #include "corneltally/kernel/event_loop.h"
@@ -37,8 +37,7 @@
     }
 };
 
-/// Log client without sockets. A read that finds nothing is answered after 10 ms, which stands for
-/// the long poll.
+/// Log client without sockets. Answers every call after 10 ms, in place of the long poll.
 class mock_log
 {
 public:
@@ -104,7 +103,7 @@
 
 using sync_service = entry::settings_sync_service<mock_log>;
 
-/// An instance with the service and what it announced.
+/// An instance with the service and the messages that it broadcast.
 struct instance
 {
     std::string name;
@@ -217,7 +216,7 @@
 
 } // namespace
 
-TEST_CASE("an instance announces the tree at the end of the log first, then each change")
+TEST_CASE("an instance broadcasts the tree at the end of the log first, then each change")
 {
     fleet test;
     test.publish("1");
@@ -232,7 +231,7 @@
     CHECK(reader.sync->dump().find("\"version\":3") != std::string::npos);
 }
 
-TEST_CASE("an instance without the log starts and follows through its peers")
+TEST_CASE("an instance that cannot reach the log loads and updates the tree from its peers")
 {
     fleet test;
     test.publish("1");
@@ -242,7 +241,7 @@
     test.publish("2");
     test.waitFor([&] { return isolated.adapterVersion() == "2"; });
     test.waitFor([&] { return isolated.confirmed.has_value(); });
-    // Only a peer that reads the log confirms the tree.
+    // Only a peer that can read the log confirms the tree.
     reader.logReachable = false;
     test.runFor(2'200ms);
     const auto before = isolated.confirmed;
@@ -275,7 +274,7 @@
     test.waitFor([&] { return cutOff.adapterVersion() == "2"; });
 }
 
-TEST_CASE("after the log expired without a snapshot a new instance takes the tree from a peer")
+TEST_CASE("after records expired without a snapshot a new instance loads the tree from a peer")
 {
     fleet test;
     test.publish("1");
@@ -283,7 +282,7 @@
     instance &reader = test.add();
     test.waitFor([&] { return reader.adapterVersion() == "2"; });
     test.log.first = 2;
-    // Keeps the first instance from repairing the log while the new one starts.
+    // Keeps the first instance from writing a snapshot to the log while the new one starts.
     reader.logReachable = false;
     instance &late = test.add();
     test.waitFor([&] { return late.adapterVersion() == "2"; });
@@ -311,7 +310,7 @@
     CHECK(late.sync->replica().nextOffset() == 3);
 }
 
-TEST_CASE("a rejected change is not announced and its reason is in the dump")
+TEST_CASE("a rejected change is not broadcast and its reason is in the dump")
 {
     fleet test;
     test.publish("1");
@@ -332,8 +331,8 @@
     test.publish("2");
     instance &reader = test.add();
     test.waitFor([&] { return reader.confirmed.has_value(); });
-    // The new instance reads a log that was replaced by a shorter one. The first one passes no
-    // confirmation on after 2 s without the log.
+    // The new instance reads a log that was replaced by a shorter one. After 2 s without the log
+    // the first instance forwards no confirmation.
     reader.logReachable = false;
     test.runFor(2'200ms);
     test.log.records.resize(1);
@@ -345,7 +344,7 @@
     CHECK(late.confirmed == before);
 }
 
-TEST_CASE("a read that was in flight during a pause is not waited for")
+TEST_CASE("a read that was in flight during a pause is sent again")
 {
     fleet test;
     test.publish("1");
