--- a/corneltally/entry/admission_service.cpp
+++ b/corneltally/entry/admission_service.cpp
@@ -50,7 +50,7 @@
         name(), [this](const catalog_changed &inChange) { applyCatalog(inChange); });
     mRegistry.handle<peers_changed>(
         name(), [this](const peers_changed &inChange) { applyPeers(inChange); });
-    mRegistry.handle<paused>(name(), [this](const paused &) { applyPause(); });
+    mRegistry.handle<process_paused>(name(), [this](const process_paused &) { applyPause(); });
     mRegistry.handle<peer_received<loan_request>>(
         name(), [this](const auto &inRequest) { receiveLoanRequest(inRequest); });
     mRegistry.handle<peer_received<loan_grant>>(
--- a/corneltally/entry/claims_service.h
+++ b/corneltally/entry/claims_service.h
@@ -138,7 +138,7 @@
     mRegistry.handle<catalog_changed>(name(), [this](const catalog_changed &inChange) {
         mClaims.setWindow(inChange.catalog->claimWindow());
     });
-    mRegistry.handle<paused>(name(), [this](const paused &) { applyPause(); });
+    mRegistry.handle<process_paused>(name(), [this](const process_paused &) { applyPause(); });
 }
 
 template <platform::log_service Log>
--- a/corneltally/entry/daemon.cpp
+++ b/corneltally/entry/daemon.cpp
@@ -133,7 +133,7 @@
         mLoop.watchPauses(cPauseLimit, [this](core::duration inGap) {
             core::logEvent(core::log_level::warning, "paused",
                            {{"seconds", std::chrono::duration<double>(inGap).count()}});
-            mRegistry.broadcast(paused{inGap});
+            mRegistry.broadcast(process_paused{inGap});
         });
         mRegistry.startAll();
         std::cout << R"({"ready":true,"name":")" << core::jsonEscape(inName)
--- a/corneltally/entry/drain_service.cpp
+++ b/corneltally/entry/drain_service.cpp
@@ -31,7 +31,8 @@
         mHandedOver = inDrained.handedOver;
         stopWhenDone();
     });
-    mRegistry.handle<superseded>(name(), [this](const superseded &) { stopSuperseded(); });
+    mRegistry.handle<instance_superseded>(
+        name(), [this](const instance_superseded &) { stopSuperseded(); });
 }
 
 void drain_service::begin()
--- a/corneltally/entry/front_end_service.cpp
+++ b/corneltally/entry/front_end_service.cpp
@@ -79,8 +79,9 @@
         if (mHoldUntil && *mConfirmedAt >= *mHoldUntil - cPauseHold)
             resumeHeld();
     });
-    mRegistry.handle<paused>(
-        name(), [this](const paused &) { mHoldUntil = core::boot_clock::now() + cPauseHold; });
+    mRegistry.handle<process_paused>(name(), [this](const process_paused &) {
+        mHoldUntil = core::boot_clock::now() + cPauseHold;
+    });
     mRegistry.handle<admission_result>(
         name(), [this](const admission_result &inResult) { continueAdmitted(inResult); });
     mRegistry.handle<claim_result>(
--- a/corneltally/entry/owner_service.cpp
+++ b/corneltally/entry/owner_service.cpp
@@ -51,7 +51,7 @@
     mRegistry.handle<peer_connected>(name(), [this](const peer_connected &inConnected) {
         publishStatusesTo(inConnected.instance);
     });
-    mRegistry.handle<paused>(name(), [this](const paused &) {
+    mRegistry.handle<process_paused>(name(), [this](const process_paused &) {
         for (auto &[endpoint, entry] : mOwned)
             entry.state->resumeAfterPause();
     });
--- a/corneltally/entry/peers_messages.h
+++ b/corneltally/entry/peers_messages.h
@@ -107,18 +107,18 @@
 };
 
 /// Settings version that a peer reported in its heartbeat.
-struct peer_version
+struct peer_settings_version
 {
     std::string instance;
     std::uint64_t version = 0;
 };
 
 /// A newer process runs under the name of this instance; this process must stop.
-struct superseded
+struct instance_superseded
 { };
 
 /// The process was suspended for longer than the pause limit of the event loop.
-struct paused
+struct process_paused
 {
     core::duration gap{};
 };
--- a/corneltally/entry/peers_service.cpp
+++ b/corneltally/entry/peers_service.cpp
@@ -64,7 +64,7 @@
     mRegistry.handle<peer_send>(name(), [this](const peer_send &inSend) { send(inSend); });
     mRegistry.handle<catalog_changed>(
         name(), [this](const catalog_changed &inChange) { applyCatalog(inChange); });
-    mRegistry.handle<paused>(name(), [this](const paused &) {
+    mRegistry.handle<process_paused>(name(), [this](const process_paused &) {
         // Silence during a pause of this process does not show that peers are down.
         mViewHoldUntil = core::boot_clock::now() + cViewHold;
     });
@@ -351,7 +351,7 @@
     checkSuperseded(inHeartbeat.receiverIncarnation);
     const core::time_point now = core::boot_clock::now();
     mTable.heard(inLink.instance, inLink.incarnation, inHeartbeat.draining, now);
-    mRegistry.broadcast(peer_version{inLink.instance, inHeartbeat.settingsVersion});
+    mRegistry.broadcast(peer_settings_version{inLink.instance, inHeartbeat.settingsVersion});
     publishView(now);
 }
 
@@ -369,7 +369,7 @@
     if (inIncarnation <= mOptions.incarnation || mSupersededReported)
         return;
     mSupersededReported = true;
-    mRegistry.broadcast(superseded{});
+    mRegistry.broadcast(instance_superseded{});
 }
 
 void peers_service::send(const peer_send &inSend)
--- a/corneltally/entry/settings_sync_service.h
+++ b/corneltally/entry/settings_sync_service.h
@@ -127,7 +127,7 @@
         name(), [this](const auto &inSnapshot) { receiveSnapshot(inSnapshot); });
     mRegistry.handle<peer_connected>(
         name(), [this](const peer_connected &inPeer) { requestRecords(inPeer.instance); });
-    mRegistry.handle<peer_version>(name(), [this](const peer_version &inPeer) {
+    mRegistry.handle<peer_settings_version>(name(), [this](const peer_settings_version &inPeer) {
         if (inPeer.version > mReplica.tree().version())
             requestRecords(inPeer.instance);
     });
@@ -137,7 +137,7 @@
     });
     mRegistry.handle<peers_changed>(
         name(), [this](const peers_changed &inChange) { mLive = inChange.live; });
-    mRegistry.handle<paused>(name(), [this](const paused &) {
+    mRegistry.handle<process_paused>(name(), [this](const process_paused &) {
         // The answer to a read that was sent before the pause may never arrive.
         mLog->cancelAll();
         mSnapshotParts.clear();
--- a/tests/unit/entry_admission_service_test.cpp
+++ b/tests/unit/entry_admission_service_test.cpp
@@ -195,7 +195,7 @@
     fleet instances;
     REQUIRE(instances.untilFull());
     instances.one.registry.broadcast(entry::peers_changed{});
-    instances.one.registry.post("admission", entry::paused{2s});
+    instances.one.registry.post("admission", entry::process_paused{2s});
     instances.one.admit("r1", 1);
     REQUIRE(instances.until([&] { return instances.one.has("r1"); }));
     CHECK_FALSE(instances.one.isAdmitted("r1"));
--- a/tests/unit/entry_claims_service_test.cpp
+++ b/tests/unit/entry_claims_service_test.cpp
@@ -214,7 +214,7 @@
     fleet instances;
     instances.one.begin("r1");
     REQUIRE(instances.until([&] { return !instances.log.records.empty(); }));
-    instances.one.registry.post("claims", entry::paused{2s});
+    instances.one.registry.post("claims", entry::process_paused{2s});
     REQUIRE(instances.until([&] { return instances.one.has("r1"); }));
     instances.two.begin("r2", 200ms);
     REQUIRE(instances.until([&] { return instances.two.has("r2"); }));
--- a/tests/unit/entry_peers_test.cpp
+++ b/tests/unit/entry_peers_test.cpp
@@ -88,7 +88,8 @@
         registry.handle<peer_connected>("test", [this](const peer_connected &inConnected) {
             connected.push_back(inConnected.instance);
         });
-        registry.handle<superseded>("test", [this](const superseded &) { isSuperseded = true; });
+        registry.handle<instance_superseded>(
+            "test", [this](const instance_superseded &) { isSuperseded = true; });
         registry.handle<peer_received<settings_request>>(
             "test", [this](const peer_received<settings_request> &inReceived) {
                 requests.push_back(inReceived.message);
--- a/tests/unit/settings_sync_test.cpp
+++ b/tests/unit/settings_sync_test.cpp
@@ -350,7 +350,7 @@
     test.publish("1");
     instance &reader = test.add();
     test.waitFor([&] { return reader.adapterVersion() == "1"; });
-    reader.registry.post("settings_sync", entry::paused{3s});
+    reader.registry.post("settings_sync", entry::process_paused{3s});
     test.publish("2");
     test.waitFor([&] { return reader.adapterVersion() == "2"; });
 }
