--- a/corneltally/entry/owned_endpoint_adapters_impl.h
+++ b/corneltally/entry/owned_endpoint_adapters_impl.h
@@ -37,7 +37,7 @@
     if (!mayCommand() || now < mNextLoad)
         return;
     if (mPermit && now - mPermit->since >= cPermitLimit) {
-        // No slot was freed in time, or the answer of the admission service was lost.
+        // No adapter slot was freed in time, or the answer of the admission service was lost.
         returnPermit();
         mNextLoad = now + std::chrono::milliseconds(250);
         return;
--- a/corneltally/entry/owned_endpoint_impl.h
+++ b/corneltally/entry/owned_endpoint_impl.h
@@ -170,7 +170,7 @@
     mAcquiredAt = now;
     mAcquireDelay = {};
     mNextPoll = now;
-    // The endpoint now rejects unloads that are still in transit with the old number.
+    // The endpoint now rejects unloads that are still in flight with the old number.
     if (mView.checksFencing) {
         for (auto &[adapter, until] : mUncertainUnloads)
             until = now;
--- a/corneltally/entry/owned_run.h
+++ b/corneltally/entry/owned_run.h
@@ -19,7 +19,7 @@
     std::uint64_t fence = 0;
     core::time_point startedAt;
     std::uint64_t nextPart = 0;
-    /// The endpoint answered, so that the request is no longer in transit.
+    /// The endpoint answered, so that the request is no longer in flight.
     bool reachedEndpoint = false;
     bool headSent = false;
     /// Resumptions since the last part arrived, and the time of the next one.
--- a/corneltally/entry/settings_messages.h
+++ b/corneltally/entry/settings_messages.h
@@ -14,14 +14,14 @@
 namespace corneltally::entry {
 
 /// A new version of the settings tree or of the leaving endpoints is in effect. Broadcast to all
-/// services; shared since the catalog is immutable and large.
+/// services; shared since the settings are immutable and large.
 struct catalog_changed
 {
     std::shared_ptr<const settings::catalog> catalog;
 };
 
 /// Names of the processes that the platform reports as leaving. The settings_sync service marks the
-/// endpoints among them as leaving in the catalog.
+/// endpoints among them as leaving in the settings.
 struct endpoints_leaving
 {
     std::set<std::string, std::less<>> names;
--- a/corneltally/entry/settings_sync_service.h
+++ b/corneltally/entry/settings_sync_service.h
@@ -71,7 +71,7 @@
     bool mLogEndSeen = false;
     core::duration mRetryDelay;
     std::optional<std::uint64_t> mPublished;
-    /// The current catalog; its successor shares the unchanged parts.
+    /// The current settings; their successor shares the unchanged parts.
     std::shared_ptr<const settings::catalog> mCatalog;
     std::optional<core::time_point> mConfirmed;
     /// When the log itself last confirmed the tree.
--- a/tests/unit/ownership_mock_engine.h
+++ b/tests/unit/ownership_mock_engine.h
@@ -231,7 +231,7 @@
         entry.fail();
     }
 
-    /// Fails a call for the owner and returns it; the request is in transit and may still be
+    /// Fails a call for the owner and returns it; the request is in flight and may still be
     /// applied.
     call interrupt(std::size_t inIndex)
     {
