--- a/corneltally/entry/settings_sync_service.h
+++ b/corneltally/entry/settings_sync_service.h
@@ -55,7 +55,7 @@
     void requestRecords(const std::string &inInstance);
     void recordVerdicts(const verdicts &inVerdicts);
     void publish();
-    void broadcastCatalog();
+    void broadcastSettings();
     void confirm(core::time_point inAt);
     void checkSnapshot();
     void appendSnapshot();
@@ -133,7 +133,7 @@
     });
     mRegistry.handle<endpoints_leaving>(name(), [this](const endpoints_leaving &inLeaving) {
         mLeaving = inLeaving.names;
-        broadcastCatalog();
+        broadcastSettings();
     });
     mRegistry.handle<peers_changed>(
         name(), [this](const peers_changed &inChange) { mLive = inChange.live; });
@@ -355,11 +355,11 @@
     core::logEvent(core::log_level::info, "settings_in_force", {{"version", tree.version()}});
     mCatalog = std::make_shared<const settings::catalog>(tree, mOptions.endpointAddresses,
                                                          mCatalog.get());
-    broadcastCatalog();
+    broadcastSettings();
 }
 
 template <platform::log_service Log>
-void settings_sync_service<Log>::broadcastCatalog()
+void settings_sync_service<Log>::broadcastSettings()
 {
     if (!mCatalog)
         return;
--- a/tests/unit/ownership_owned_endpoint_test.cpp
+++ b/tests/unit/ownership_owned_endpoint_test.cpp
@@ -296,8 +296,8 @@
     owner_fixture &owner = test.fixture;
     owner.runFor(3s);
     owner.submit("r", "a", false);
-    const auto inTransit = owner.engine.interrupt(0);
-    REQUIRE(inTransit.kind == "run");
+    const auto inFlight = owner.engine.interrupt(0);
+    REQUIRE(inFlight.kind == "run");
     REQUIRE(owner.endOf("r") != nullptr);
     CHECK(owner.endOf("r")->outcome == run_outcome::unknown);
     // No adapter is unloaded before the new number is registered.
@@ -306,7 +306,7 @@
     CHECK_FALSE(owner.engine.has("unload"));
     owner.runFor(3s);
     CHECK(test.endpoint.highest > 1025);
-    const auto reply = inTransit.perform();
+    const auto reply = inFlight.perform();
     CHECK(test.endpoint.starts["r"] == 0);
     owner.runFor(5s);
     CHECK(test.endpoint.unloadsInUse == 0);
