--- a/corneltally/entry/dispatch_service.cpp
+++ b/corneltally/entry/dispatch_service.cpp
@@ -68,11 +68,11 @@
             handleEvent(inReceived.message, inReceived.instance);
         });
     mRegistry.handle<endpoint_status>(name(), [this](const endpoint_status &inStatus) {
-        mDirectory.takeStatus(inStatus, core::boot_clock::now());
+        mDirectory.updateStatus(inStatus, core::boot_clock::now());
     });
     mRegistry.handle<peer_received<endpoint_status>>(
         name(), [this](const peer_received<endpoint_status> &inReceived) {
-            mDirectory.takeStatus(inReceived.message, core::boot_clock::now());
+            mDirectory.updateStatus(inReceived.message, core::boot_clock::now());
         });
     mRegistry.handle<catalog_changed>(name(), [this](const catalog_changed &inChange) {
         mDirectory.setCatalog(inChange.catalog);
@@ -135,7 +135,7 @@
 void dispatch_service::attemptModel(dispatched_run &ioRun, core::time_point inNow)
 {
     std::optional<std::string> chosen
-        = mDirectory.chooseModel(ioRun.request, ioRun.failedEndpoints, inNow, mRandom());
+        = mDirectory.chooseModelEndpoint(ioRun.request, ioRun.failedEndpoints, inNow, mRandom());
     const std::optional<std::string> owner = chosen ? mDirectory.ownerOf(*chosen) : std::nullopt;
     if (!owner) {
         // Endpoints where earlier attempts failed may accept the run later.
@@ -193,7 +193,7 @@
 void dispatch_service::attemptService(dispatched_run &ioRun, core::time_point inNow)
 {
     std::optional<std::string> chosen
-        = mDirectory.chooseService(ioRun.request, ioRun.failedEndpoints, inNow, mRandom());
+        = mDirectory.chooseServiceEndpoint(ioRun.request, ioRun.failedEndpoints, inNow, mRandom());
     if (!chosen) {
         waitForEndpoint(ioRun, inNow);
         return;
--- a/corneltally/entry/front_end_service.cpp
+++ b/corneltally/entry/front_end_service.cpp
@@ -80,8 +80,9 @@
         if (mHoldUntil && *mSettingsConfirmedAt >= *mHoldUntil - cMaxPauseHold)
             serveHeldRequests();
     });
-    mRegistry.handle<paused>(
-        name(), [this](const paused &) { mHoldUntil = core::boot_clock::now() + cMaxPauseHold; });
+    mRegistry.handle<process_paused>(name(), [this](const process_paused &) {
+        mHoldUntil = core::boot_clock::now() + cMaxPauseHold;
+    });
     mRegistry.handle<admission_result>(
         name(), [this](const admission_result &inResult) { handleAdmissionResult(inResult); });
     mRegistry.handle<claim_result>(
--- a/corneltally/entry/lease_sync.h
+++ b/corneltally/entry/lease_sync.h
@@ -12,21 +12,21 @@
 
 namespace corneltally::entry {
 
-/// Reads the log stream "leases" and appends the records that leases propose.
+/// Reads the log stream "leases" and appends the records that the leases of this instance propose.
 template <platform::log_service Log>
 class lease_sync
 {
 public:
-    /// Finds the lease of an endpoint, or nullptr if this instance does not want it (any more).
+    /// Finds the lease of an endpoint; nullptr if this instance does not need it (any longer).
     using lease_finder = std::function<ownership::lease *(const std::string &inEndpoint)>;
 
     lease_sync(Log &inLog, std::function<core::time_point()> inNow, lease_finder inFinder)
         : mLog(inLog)
         , mNow(std::move(inNow))
-        , mFind(std::move(inFinder))
+        , mFindLease(std::move(inFinder))
     { }
 
-    /// Reads and appends what is due for the endpoints whose leases are wanted.
+    /// Reads the log and appends due records for the endpoints whose leases are needed.
     void tick(const std::vector<std::string> &inEndpoints)
     {
         if (inEndpoints.empty())
@@ -34,11 +34,11 @@
         if (!mReading && mNow() >= mNextRead)
             read();
         for (const std::string &endpoint : inEndpoints) {
-            ownership::lease *lease = mFind(endpoint);
+            ownership::lease *lease = mFindLease(endpoint);
             if (lease == nullptr)
                 continue;
             lease->observe(mTable, mNow());
-            // A proposal from an old view would only be refused.
+            // A proposal that is based on an outdated table would be rejected.
             if (mCaughtUp)
                 propose(*lease, endpoint);
         }
@@ -56,10 +56,10 @@
                    .from = mTable.nextOffset(),
                    .limit = 200,
                    .wait = std::chrono::milliseconds(1000)},
-                  [this](const platform::read_result &inResult) { takeRecords(inResult); });
+                  [this](const platform::read_result &inResult) { handleRecords(inResult); });
     }
 
-    void takeRecords(const platform::read_result &inResult)
+    void handleRecords(const platform::read_result &inResult)
     {
         mReading = false;
         if (inResult.outcome == platform::read_outcome::failed) {
@@ -75,7 +75,7 @@
             const auto record = ownership::lease_record::sFromJson(entry.data);
             if (record) {
                 mTable.apply(entry.offset, *record, mNow());
-                if (ownership::lease *lease = mFind(record->endpoint))
+                if (ownership::lease *lease = mFindLease(record->endpoint))
                     lease->observe(mTable, mNow());
             } else {
                 mTable.skip(entry.offset);
@@ -93,7 +93,7 @@
             return;
         mLog.append(
             sStream, record->toJson(), [this, inEndpoint](const platform::append_result &inResult) {
-                ownership::lease *lease = mFind(inEndpoint);
+                ownership::lease *lease = mFindLease(inEndpoint);
                 if (lease != nullptr && inResult.outcome != platform::append_outcome::appended)
                     lease->appendFailed(mNow());
             });
@@ -101,7 +101,7 @@
 
     Log &mLog;
     std::function<core::time_point()> mNow;
-    lease_finder mFind;
+    lease_finder mFindLease;
     ownership::lease_table mTable;
     bool mReading = false;
     bool mCaughtUp = false;
--- a/corneltally/entry/owned_endpoint.h
+++ b/corneltally/entry/owned_endpoint.h
@@ -20,8 +20,9 @@
 
 namespace corneltally::entry {
 
-/// One endpoint that this instance owns or may own: acquires and gives up ownership, queues and
-/// starts runs, and loads and unloads adapters. The engine must outlive the calls that it makes.
+/// Manages one endpoint that this instance owns or is assigned: acquires and releases ownership,
+/// queues and starts runs, and loads and unloads adapters. The engine must exist as long
+/// as this object calls it.
 template <endpoint::engine_protocol Engine>
 class owned_endpoint
 {
@@ -29,41 +30,43 @@
     owned_endpoint(Engine &inEngine, settings::endpoint_view inView,
                    owned_endpoint_options inOptions, owned_endpoint_hooks inHooks);
 
-    /// Applies the settings tree: the endpoint, limits of its queue, and the number that tells this
-    /// instance's fencing numbers from those of others.
+    /// Applies the settings tree: the endpoint, the limits of its queue, and the slot that keeps
+    /// this instance's fencing numbers distinct from those of other instances.
     void configure(const settings::endpoint_view &inView, std::size_t inMaxQueued,
                    core::duration inPatientMaxWait, std::uint64_t inFenceSlot);
 
-    /// Whether this instance should own the endpoint, by the rule of ownership::chooseOwner().
-    void setWanted(bool inWanted);
+    /// Sets whether ownership::chooseOwner() assigns the endpoint to this instance.
+    void setAssigned(bool inAssigned);
 
-    /// Another instance published a fencing number of the endpoint.
-    void noteFence(std::uint64_t inFence) { mHighestKnown = std::max(mHighestKnown, inFence); }
+    /// Records a fencing number of the endpoint that another instance published.
+    void observeFence(std::uint64_t inFence) { mHighestFence = std::max(mHighestFence, inFence); }
 
-    /// Takes no new runs. Returns the number of waiting runs that were given back.
+    /// Stops accepting runs. Returns the number of queued runs that were returned to their origins.
     std::size_t startDrain();
 
-    /// The process did not run for a while: another instance may have taken over.
+    /// Gives up ownership after a pause of the process, during which another instance may have
+    /// taken the endpoint over.
     void resumeAfterPause();
 
     void submit(const run_submit &inSubmit);
     void cancel(const std::string &inRequestId, const std::string &inOrigin);
-    /// Drops waiting runs whose origin is gone.
+    /// Removes the queued runs of an instance that is no longer present.
     void dropOrigin(const std::string &inOrigin);
+    /// Receives the answer to owned_endpoint_hooks::admitLoad.
     void loadAdmitted(const weight_load_result &inResult);
 
-    /// Does what has become due; call it every few dozen milliseconds.
+    /// Performs the steps that are due; to be called every few tens of milliseconds.
     void tick();
 
-    /// For the dispatching instances; nothing if this instance is not the owner.
+    /// Status for the dispatching instances; empty if this instance is not the owner.
     std::optional<endpoint_status> status() const;
-    bool isWanted() const { return mWanted && !mDraining; }
+    bool isAssigned() const { return mAssigned && !mDraining; }
     bool hasRuns() const { return !mRuns.empty(); }
     bool isOwning() const { return mTakeover.isOwning(); }
     const settings::endpoint_view &view() const { return mView; }
     /// The lease of an endpoint that does not check fencing numbers.
     ownership::lease &lease() { return mLease; }
-    bool wantsLease() const { return mWanted && !mDraining && !mView.checksFencing; }
+    bool needsLease() const { return mAssigned && !mDraining && !mView.checksFencing; }
     std::string dump() const;
 
 private:
@@ -87,66 +90,67 @@
     void ownershipAcquired(std::uint64_t inFence);
     void acquireFailed(const std::string &inReason);
     void loseOwnership(const std::string &inReason);
-    void staleFence(std::uint64_t inUsedFence, const std::string &inReason);
-    void watchLease();
+    void handleStaleFence(std::uint64_t inUsedFence, const std::string &inReason);
+    void updateLeaseState();
     void poll();
-    void takeReport(const endpoint::engine_state &inState);
+    void handleReport(const endpoint::engine_state &inState);
     void pollFailed(const std::string &inReason);
 
     // Runs.
     bool mayTakeRuns() const;
-    bool mayContinueRuns() const;
+    bool mayResumeRuns() const;
     void queueRun(const run_submit &inSubmit);
-    void continueStream(const run_submit &inSubmit);
+    void resumeStream(const run_submit &inSubmit);
     void startRuns();
     void startRun(const scheduling::queued_request &inRequest);
     void resumeRun(owned_run &ioRun);
     endpoint::engine_run engineRun(const owned_run &inRun) const;
     endpoint::engine_run_events runEvents(const std::string &inRequestId);
-    void takeHead(owned_run &ioRun, int inStatus, const std::string &inContentType);
-    void takeEnd(const std::string &inRequestId, const endpoint::engine_run_end &inEnd);
-    void interruptRun(owned_run &ioRun, const std::string &inReason);
+    void handleHead(owned_run &ioRun, int inStatus, const std::string &inContentType);
+    void handleEnd(const std::string &inRequestId, const endpoint::engine_run_end &inEnd);
+    void handleInterruption(owned_run &ioRun, const std::string &inReason);
     void finishRun(const std::string &inRequestId, run_end inEnd, double inUsedTokens);
-    void noteUncertainRun(const owned_run &inRun);
+    void markUncertainRun(const owned_run &inRun);
     void refuse(const run_submit &inSubmit, core::error_kind inKind, const std::string &inReason);
     std::size_t refuseWaiting(core::error_kind inKind, const std::string &inReason);
-    void dropEarlier(const std::string &inRequestId);
+    void dropEarlierRun(const std::string &inRequestId);
     void expireWaiting();
     scheduling::queued_request queueEntry(const run_submit &inSubmit) const;
-    run_end notRun(core::error_kind inKind, const std::string &inReason) const;
+    run_end makeNotRunEnd(core::error_kind inKind, const std::string &inReason) const;
     core::duration estimatedWait() const;
 
     // Adapters.
     bool mayCommand() const;
     bool isInUse(const std::string &inAdapter) const;
     void decideSlots();
-    void askForPermit(const std::string &inAdapter);
+    void requestPermit(const std::string &inAdapter);
     void returnPermit();
     void sendLoad(const std::string &inAdapter);
     void loadEnded(const sent_command &inSent, const endpoint::engine_command_result &inResult);
     void sendUnload(const std::string &inAdapter);
     void unloadEnded(const sent_command &inSent, const endpoint::engine_command_result &inResult);
-    void resolveUnloads();
+    void expireUncertainUnloads();
 
     Engine &mEngine;
     settings::endpoint_view mView;
     owned_endpoint_options mOptions;
     owned_endpoint_hooks mHooks;
     std::uint64_t mFenceSlot = 0;
-    bool mWanted = false;
+    bool mAssigned = false;
     bool mDraining = false;
 
     ownership::endpoint_ownership mTakeover;
     ownership::lease mLease;
     bool mLeaseHeld = false;
-    /// Tells the answers of an earlier acquisition or ownership from current ones.
+    /// Identify the current acquisition and the current ownership, so that answers to calls of
+    /// earlier ones are discarded.
     std::uint64_t mAttempt = 0;
     std::uint64_t mOwnershipNumber = 0;
     core::time_point mNextAcquire;
     core::duration mAcquireDelay{};
-    /// Wait after another instance took over; doubled if the two do so in turn.
+    /// Delay before acquiring again after a loss; doubled for each loss within 30 s of acquisition.
     core::duration mLossDelay{};
-    std::uint64_t mHighestKnown = 0;
+    std::uint64_t mHighestFence = 0;
     bool mNeedsNewFence = false;
     core::time_point mAcquiredAt;
 
@@ -154,7 +158,7 @@
     core::time_point mNextPoll;
     int mFailedPolls = 0;
     static constexpr int sFailedPollLimit = 3;
-    /// A report was received since the endpoint was taken over.
+    /// A report was received since this instance acquired the endpoint.
     bool mReported = false;
     std::map<std::string, int, std::less<>> mReportedRuns;
 
@@ -167,17 +171,18 @@
 
     std::optional<load_permit> mPermit;
     core::time_point mNextLoad;
-    /// Unloads that may still take effect, and when that is ruled out. No run of these starts.
+    /// Adapters with an unload that may still take effect, and when that is ruled out. Until then
+    /// no run of these adapters starts.
     std::map<std::string, core::time_point> mUncertainUnloads;
     std::uint64_t mLoads = 0;
     std::uint64_t mFailedLoads = 0;
     std::uint64_t mUnloads = 0;
 };
 
-/// Name of an adapter version, as engines call it.
+/// Name of an adapter version in the engine protocol: adapter@version.
 std::string adapterName(std::string_view inAdapter, std::string_view inVersion);
 
-/// The parts of a name made by adapterName().
+/// Splits a name made by adapterName().
 resident_adapter splitAdapterName(std::string_view inName);
 
 } // namespace corneltally::entry
--- a/corneltally/entry/owned_endpoint_adapters_impl.h
+++ b/corneltally/entry/owned_endpoint_adapters_impl.h
@@ -37,7 +37,7 @@
     if (!mayCommand() || now < mNextLoad)
         return;
     if (mPermit && now - mPermit->since >= cPermitLimit) {
-        // No slot became free, or the answer of the admission service was lost.
+        // No adapter slot was freed in time, or the answer of the admission service was lost.
         returnPermit();
         mNextLoad = now + std::chrono::milliseconds(250);
         return;
@@ -46,9 +46,9 @@
         mQueue.demand(now), [this](const std::string &inName) { return isInUse(inName); }, now);
     if (decision.kind == scheduling::slot_decision::action::none)
         return;
-    // An unload only makes sense if the load after it is admitted: until then the slot serves.
+    // Unloads only once the following load is admitted; until then the resident adapter can serve.
     if (!mPermit) {
-        askForPermit(decision.wanted);
+        requestPermit(decision.wanted);
     } else if (mPermit->granted) {
         if (decision.kind == scheduling::slot_decision::action::unload)
             sendUnload(decision.adapter);
@@ -61,7 +61,7 @@
 }
 
 template <endpoint::engine_protocol Engine>
-void owned_endpoint<Engine>::askForPermit(const std::string &inAdapter)
+void owned_endpoint<Engine>::requestPermit(const std::string &inAdapter)
 {
     mPermit = load_permit{inAdapter, mHooks.now(), false};
     const resident_adapter parts = splitAdapterName(inAdapter);
@@ -95,7 +95,7 @@
     if (!mPermit)
         return;
     const resident_adapter parts = splitAdapterName(mPermit->adapter);
-    // A permit that is granted later is returned by loadAdmitted().
+    // If the permit is granted later, loadAdmitted() returns it.
     const bool granted = mPermit->granted;
     mPermit.reset();
     if (granted)
@@ -132,7 +132,7 @@
         return;
     mSlots.loadEnded(inSent.adapter, loaded, mHooks.now());
     if (inResult.outcome == endpoint::engine_outcome::stale_fence)
-        staleFence(inSent.fence, inResult.reason);
+        handleStaleFence(inSent.fence, inResult.reason);
     startRuns();
     decideSlots();
 }
@@ -157,8 +157,8 @@
 {
     using outcome = endpoint::engine_outcome;
     if (inResult.outcome == outcome::unknown) {
-        // It may take effect later, when runs use the adapter again: no run starts until a new
-        // fencing number or time rules that out.
+        // The unload may still take effect. Runs of the adapter do not start until a new fencing
+        // number or the elapsed time rules that out.
         if (mView.checksFencing)
             mNeedsNewFence = true;
         else
@@ -173,18 +173,18 @@
     mUnloads += gone ? 1 : 0;
     mSlots.unloadEnded(inSent.adapter, gone, mHooks.now());
     if (inResult.outcome == outcome::stale_fence)
-        staleFence(inSent.fence, inResult.reason);
+        handleStaleFence(inSent.fence, inResult.reason);
     decideSlots();
 }
 
 template <endpoint::engine_protocol Engine>
-void owned_endpoint<Engine>::resolveUnloads()
+void owned_endpoint<Engine>::expireUncertainUnloads()
 {
     const core::time_point now = mHooks.now();
     std::erase_if(mUncertainUnloads, [&](const auto &inEntry) {
         if (inEntry.second > now)
             return false;
-        // Whether the adapter is still resident is left to the next report.
+        // The next report shows whether the adapter is still resident.
         mSlots.unloadEnded(inEntry.first, false, now);
         return true;
     });
--- a/corneltally/entry/owned_endpoint_impl.h
+++ b/corneltally/entry/owned_endpoint_impl.h
@@ -41,16 +41,17 @@
     if (mView.leaving)
         refuseWaiting(core::error_kind::unavailable, "the endpoint is leaving");
     if (fencingChanged && mTakeover.current() != ownership::endpoint_ownership::phase::not_owner)
-        loseOwnership("the endpoint's fencing changed");
+        loseOwnership("the endpoint's fencing setting changed");
 }
 
 template <endpoint::engine_protocol Engine>
-void owned_endpoint<Engine>::setWanted(bool inWanted)
+void owned_endpoint<Engine>::setAssigned(bool inAssigned)
 {
-    if (std::exchange(mWanted, inWanted) == inWanted)
+    if (std::exchange(mAssigned, inAssigned) == inAssigned)
         return;
-    if (inWanted) {
-        // A lost owner's queue is empty; a releasing one acquires a new number.
+    if (inAssigned) {
+        // After a loss the queue is already empty; an ownership that is being released is dropped
+        // and acquired again with a new number.
         if (mTakeover.current() == ownership::endpoint_ownership::phase::releasing)
             mTakeover.lost();
         mNextAcquire = mHooks.now();
@@ -90,12 +91,12 @@
 {
     using phase = ownership::endpoint_ownership::phase;
     const core::time_point now = mHooks.now();
-    if (mWanted && !mDraining && now >= mNextAcquire
+    if (mAssigned && !mDraining && now >= mNextAcquire
         && (mTakeover.current() == phase::not_owner || (isOwning() && mNeedsNewFence)))
         acquire();
     if (mTakeover.current() == phase::releasing && mRuns.empty())
         mTakeover.lost();
-    watchLease();
+    updateLeaseState();
     const bool holds = isOwning() || mTakeover.current() == phase::releasing;
     if (holds && !mPolling && now >= mNextPoll)
         poll();
@@ -107,7 +108,7 @@
     }
     for (const std::string &id : due)
         resumeRun(mRuns.find(id)->second);
-    resolveUnloads();
+    expireUncertainUnloads();
     startRuns();
     decideSlots();
 }
@@ -144,9 +145,9 @@
 template <endpoint::engine_protocol Engine>
 void owned_endpoint<Engine>::registerFence(std::uint64_t inHighest, std::uint64_t inAttempt)
 {
-    // An endpoint that restarted may have forgotten numbers that this or other instances used.
+    // A restarted endpoint may have lost the numbers that this or other instances registered.
     const std::uint64_t fence
-        = ownership::nextFence(std::max({inHighest, mTakeover.fence(), mHighestKnown}), mFenceSlot);
+        = ownership::nextFence(std::max({inHighest, mTakeover.fence(), mHighestFence}), mFenceSlot);
     mEngine.registerFence(fence,
                           [this, fence, inAttempt](const endpoint::engine_fence_result &inResult) {
                               if (inAttempt != mAttempt)
@@ -169,7 +170,7 @@
     mAcquiredAt = now;
     mAcquireDelay = {};
     mNextPoll = now;
-    // Unloads that were on their way with the old number are refused from now on.
+    // The endpoint now rejects unloads that are still in flight with the old number.
     if (mView.checksFencing) {
         for (auto &[adapter, until] : mUncertainUnloads)
             until = now;
@@ -201,10 +202,9 @@
     mTakeover.lost();
     mPolling = false;
     returnPermit();
-    refuseWaiting(core::error_kind::unavailable,
-                  "this instance does not own the endpoint any more");
-    // Two instances that cannot see each other take the endpoint over in turn; each of them keeps
-    // it for longer and longer. The slot keeps them from doing so in step.
+    refuseWaiting(core::error_kind::unavailable, "this instance no longer owns the endpoint");
+    // Two instances that cannot reach each other take the endpoint over from each other. The
+    // growing delay lets each keep it longer, and the offset by slot keeps their attempts apart.
     const core::time_point now = mHooks.now();
     if (now - mAcquiredAt > std::chrono::seconds(30))
         mLossDelay = {};
@@ -214,21 +214,22 @@
 }
 
 template <endpoint::engine_protocol Engine>
-void owned_endpoint<Engine>::staleFence(std::uint64_t inUsedFence, const std::string &inReason)
+void owned_endpoint<Engine>::handleStaleFence(std::uint64_t inUsedFence,
+                                              const std::string &inReason)
 {
-    // The refusal of a number that this instance has replaced itself says nothing.
+    // The rejection of a number that this instance replaced itself does not mean a loss.
     if (isOwning() && inUsedFence == mTakeover.fence())
         loseOwnership(inReason);
 }
 
 template <endpoint::engine_protocol Engine>
-void owned_endpoint<Engine>::watchLease()
+void owned_endpoint<Engine>::updateLeaseState()
 {
     if (mView.checksFencing)
         return;
     const core::time_point now = mHooks.now();
     const bool held = mLease.isHeld(now);
-    // Without the lease, another instance may have commanded the endpoint in the meantime.
+    // While the lease was not held, another instance may have sent commands to the endpoint.
     if (held && !mLeaseHeld && isOwning())
         mTakeover.acquiredUnfenced(now, now + mOptions.longestRequest);
     mLeaseHeld = held;
@@ -244,20 +245,20 @@
             return;
         mPolling = false;
         if (inState.outcome == endpoint::engine_outcome::completed)
-            takeReport(inState);
+            handleReport(inState);
         else
             pollFailed(inState.reason);
     });
 }
 
 template <endpoint::engine_protocol Engine>
-void owned_endpoint<Engine>::takeReport(const endpoint::engine_state &inState)
+void owned_endpoint<Engine>::handleReport(const endpoint::engine_state &inState)
 {
     if (mView.checksFencing && isOwning() && inState.fence > mTakeover.fence()) {
         loseOwnership("the endpoint reports a greater fencing number");
         return;
     }
-    // After a restart the endpoint accepts the numbers of earlier owners again.
+    // The endpoint restarted and accepts the numbers of earlier owners again.
     if (mView.checksFencing && isOwning() && inState.fence < mTakeover.fence()
         && inState.described > mAcquiredAt)
         mNeedsNewFence = true;
@@ -295,15 +296,15 @@
 std::optional<endpoint_status> owned_endpoint<Engine>::status() const
 {
     using phase = ownership::endpoint_ownership::phase;
-    // A number that replaces the own one is acquired within a round trip; the endpoint stays owned.
-    const bool renews = mTakeover.current() == phase::acquiring && mReported;
-    if (!isOwning() && !renews)
+    // Renewing the fencing number takes a round trip, during which the endpoint stays owned.
+    const bool isRenewing = mTakeover.current() == phase::acquiring && mReported;
+    if (!isOwning() && !isRenewing)
         return std::nullopt;
     endpoint_status status;
     status.endpoint = mView.name;
     status.owner = mOptions.instance;
     status.fence = mTakeover.fence();
-    status.accepting = (mayTakeRuns() || (renews && !mView.leaving))
+    status.accepting = (mayTakeRuns() || (isRenewing && !mView.leaving))
         && mQueue.queuedCount() < mQueue.settings().maxQueued && mHealth.mayStart(mHooks.now());
     for (const std::string &name : mSlots.adaptersIn(scheduling::adapter_slots::state::resident)) {
         if (mSlots.mayStart(name))
@@ -332,7 +333,7 @@
 {
     std::string text = "{\"endpoint\":\"" + core::jsonEscape(mView.name) + "\",\"phase\":\"";
     text.append(ownership::toString(mTakeover.current()));
-    text.append("\",\"wanted\":").append(mWanted ? "true" : "false");
+    text.append("\",\"wanted\":").append(mAssigned ? "true" : "false");
     text.append(",\"fence\":").append(std::to_string(mTakeover.fence()));
     text.append(",\"lease_offset\":").append(std::to_string(mLease.offset()));
     text.append(",\"lease_held\":").append(mLease.isHeld(mHooks.now()) ? "true" : "false");
--- a/corneltally/entry/owned_endpoint_runs_impl.h
+++ b/corneltally/entry/owned_endpoint_runs_impl.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Waiting and running requests of owned_endpoint; included by owned_endpoint.h.
+// Queued and running requests of owned_endpoint; included by owned_endpoint.h.
 
 #include "corneltally/core/json_log.h"
 #include "corneltally/entry/owned_endpoint.h"
@@ -19,7 +19,7 @@
 }
 
 template <endpoint::engine_protocol Engine>
-bool owned_endpoint<Engine>::mayContinueRuns() const
+bool owned_endpoint<Engine>::mayResumeRuns() const
 {
     return isOwning() || mTakeover.current() == ownership::endpoint_ownership::phase::releasing;
 }
@@ -29,12 +29,12 @@
 {
     const core::time_point now = mHooks.now();
     mOptions.longestRequest = std::max(mOptions.longestRequest, inSubmit.request.deadline - now);
-    // The origin repeats or continues a run whose events it lost.
-    dropEarlier(inSubmit.request.requestId);
+    // The origin repeats or resumes a run whose events were lost.
+    dropEarlierRun(inSubmit.request.requestId);
     if (inSubmit.request.deadline <= now)
         refuse(inSubmit, core::error_kind::timeout, "the deadline passed before the run started");
     else if (inSubmit.resumeFrom > 0)
-        continueStream(inSubmit);
+        resumeStream(inSubmit);
     else
         queueRun(inSubmit);
 }
@@ -42,10 +42,10 @@
 template <endpoint::engine_protocol Engine>
 void owned_endpoint<Engine>::queueRun(const run_submit &inSubmit)
 {
-    // While a number that replaces the own one is acquired, runs wait for it.
-    const bool renews = mTakeover.current() == ownership::endpoint_ownership::phase::acquiring
+    // Runs are queued while the fencing number is being renewed.
+    const bool isRenewing = mTakeover.current() == ownership::endpoint_ownership::phase::acquiring
         && mReported && !mDraining && !mView.leaving;
-    if (!mayTakeRuns() && !renews) {
+    if (!mayTakeRuns() && !isRenewing) {
         refuse(inSubmit, core::error_kind::unavailable,
                mView.leaving ? "the endpoint is leaving"
                              : "this instance does not serve the endpoint");
@@ -65,13 +65,13 @@
 }
 
 template <endpoint::engine_protocol Engine>
-void owned_endpoint<Engine>::continueStream(const run_submit &inSubmit)
+void owned_endpoint<Engine>::resumeStream(const run_submit &inSubmit)
 {
-    if (!mayContinueRuns() || mDraining) {
+    if (!mayResumeRuns() || mDraining) {
         refuse(inSubmit, core::error_kind::unavailable, "this instance does not own the endpoint");
         return;
     }
-    // The run is at the endpoint already, so that it does not queue behind new work.
+    // The run is already at the endpoint and does not wait in the queue.
     scheduling::queued_request entry = queueEntry(inSubmit);
     owned_run running;
     running.submitted = inSubmit;
@@ -100,7 +100,7 @@
         return;
     mEngine.cancelCall(running->second.call);
     mEngine.cancelStream(inRequestId);
-    noteUncertainRun(running->second);
+    markUncertainRun(running->second);
     mHealth.abandoned();
     const double used = running->second.submitted.request.promptTokens
         + static_cast<double>(running->second.nextPart);
@@ -163,7 +163,7 @@
     const run &request = ioRun.submitted.request;
     ioRun.resumeAt.reset();
     if (mHooks.now() >= request.deadline) {
-        interruptRun(ioRun, "the request was not answered in time");
+        handleInterruption(ioRun, "the request was not answered in time");
         return;
     }
     ioRun.call = mEngine.resume(engineRun(ioRun), ioRun.nextPart, runEvents(request.requestId));
@@ -194,7 +194,7 @@
                 [this, id = inRequestId](int inStatus, const std::string &inContentType) {
                     const auto found = mRuns.find(id);
                     if (found != mRuns.end())
-                        takeHead(found->second, inStatus, inContentType);
+                        handleHead(found->second, inStatus, inContentType);
                 },
             .onChunk =
                 [this, id = inRequestId](std::uint64_t inIndex, std::string_view inData) {
@@ -207,12 +207,12 @@
                                      {id, run_chunk{inIndex, std::string(inData)}});
                 },
             .onEnd = [this, id = inRequestId](
-                         const endpoint::engine_run_end &inEnd) { takeEnd(id, inEnd); }};
+                         const endpoint::engine_run_end &inEnd) { handleEnd(id, inEnd); }};
 }
 
 template <endpoint::engine_protocol Engine>
-void owned_endpoint<Engine>::takeHead(owned_run &ioRun, int inStatus,
-                                      const std::string &inContentType)
+void owned_endpoint<Engine>::handleHead(owned_run &ioRun, int inStatus,
+                                        const std::string &inContentType)
 {
     ioRun.reachedEndpoint = true;
     if (std::exchange(ioRun.headSent, true))
@@ -222,8 +222,8 @@
 }
 
 template <endpoint::engine_protocol Engine>
-void owned_endpoint<Engine>::takeEnd(const std::string &inRequestId,
-                                     const endpoint::engine_run_end &inEnd)
+void owned_endpoint<Engine>::handleEnd(const std::string &inRequestId,
+                                       const endpoint::engine_run_end &inEnd)
 {
     using outcome = endpoint::engine_outcome;
     const auto found = mRuns.find(inRequestId);
@@ -243,9 +243,9 @@
         finishRun(inRequestId, std::move(end), used);
         return;
     }
-    // A refusal of a continuation does not prove that the run itself did not start.
+    // The rejection of a resumption does not prove that the run itself did not start.
     if (inEnd.outcome == outcome::unknown || wasResumed) {
-        interruptRun(running, inEnd.reason);
+        handleInterruption(running, inEnd.reason);
         return;
     }
     if (inEnd.outcome == outcome::not_sent || inEnd.outcome == outcome::refused)
@@ -255,14 +255,15 @@
     const std::uint64_t fence = running.fence;
     if (inEnd.outcome == outcome::not_resident)
         mSlots.missing(running.adapter, now);
-    finishRun(inRequestId, notRun(core::error_kind::unavailable, inEnd.reason), 0);
+    finishRun(inRequestId, makeNotRunEnd(core::error_kind::unavailable, inEnd.reason), 0);
     if (inEnd.outcome == outcome::stale_fence)
-        staleFence(fence, inEnd.reason);
+        handleStaleFence(fence, inEnd.reason);
 }
 
-/// A call ended without an answer: the stream is continued if that is possible.
+/// Handles a call that ended without an answer: schedules the resumption of the stream if possible,
+/// otherwise ends the run with an unknown outcome.
 template <endpoint::engine_protocol Engine>
-void owned_endpoint<Engine>::interruptRun(owned_run &ioRun, const std::string &inReason)
+void owned_endpoint<Engine>::handleInterruption(owned_run &ioRun, const std::string &inReason)
 {
     static constexpr int cMaxResumptions = 4;
     static constexpr core::duration cFirstDelay = std::chrono::milliseconds(50);
@@ -279,7 +280,7 @@
     const double used = ioRun.submitted.request.promptTokens + static_cast<double>(ioRun.nextPart);
     mHealth.failed(now);
     mEngine.cancelStream(id);
-    noteUncertainRun(ioRun);
+    markUncertainRun(ioRun);
     run_end end{.outcome = run_outcome::unknown,
                 .error = {timedOut ? core::error_kind::timeout : core::error_kind::outcome_unknown,
                           inReason, "find out whether the request ran before repeating it"},
@@ -300,7 +301,7 @@
 }
 
 template <endpoint::engine_protocol Engine>
-void owned_endpoint<Engine>::noteUncertainRun(const owned_run &inRun)
+void owned_endpoint<Engine>::markUncertainRun(const owned_run &inRun)
 {
     const core::time_point now = mHooks.now();
     if (inRun.reachedEndpoint) {
@@ -317,7 +318,8 @@
 void owned_endpoint<Engine>::refuse(const run_submit &inSubmit, core::error_kind inKind,
                                     const std::string &inReason)
 {
-    mHooks.sendEvent(inSubmit.origin, {inSubmit.request.requestId, notRun(inKind, inReason)});
+    mHooks.sendEvent(inSubmit.origin,
+                     {inSubmit.request.requestId, makeNotRunEnd(inKind, inReason)});
 }
 
 template <endpoint::engine_protocol Engine>
@@ -332,7 +334,7 @@
 }
 
 template <endpoint::engine_protocol Engine>
-void owned_endpoint<Engine>::dropEarlier(const std::string &inRequestId)
+void owned_endpoint<Engine>::dropEarlierRun(const std::string &inRequestId)
 {
     if (mQueue.remove(inRequestId))
         mWaiting.erase(inRequestId);
@@ -340,7 +342,7 @@
     if (running == mRuns.end())
         return;
     mEngine.cancelCall(running->second.call);
-    noteUncertainRun(running->second);
+    markUncertainRun(running->second);
     mHealth.abandoned();
     mRuns.erase(running);
     mQueue.ended(inRequestId, 0);
@@ -352,7 +354,7 @@
     for (const scheduling::queued_request &expired : mQueue.takeExpired(mHooks.now())) {
         const auto node = mWaiting.extract(expired.requestId);
         refuse(node.mapped(), core::error_kind::timeout,
-               "the deadline passed while the request waited");
+               "the deadline passed while the request was queued");
     }
 }
 
@@ -370,7 +372,8 @@
 }
 
 template <endpoint::engine_protocol Engine>
-run_end owned_endpoint<Engine>::notRun(core::error_kind inKind, const std::string &inReason) const
+run_end owned_endpoint<Engine>::makeNotRunEnd(core::error_kind inKind,
+                                              const std::string &inReason) const
 {
     run_end end{.outcome = run_outcome::not_run,
                 .error = {inKind, inReason, "repeat the request"},
--- a/corneltally/entry/owner_service.cpp
+++ b/corneltally/entry/owner_service.cpp
@@ -14,7 +14,7 @@
 using namespace std::chrono_literals;
 
 constexpr core::duration cTickPeriod = 25ms;
-/// Statuses are published on change, but not more often than this.
+/// Minimum time between two published statuses of an endpoint, which are sent on change.
 constexpr core::duration cPublishPeriod = 100ms;
 
 bool isIn(const std::vector<std::string> &inNames, const std::string &inName)
@@ -32,8 +32,8 @@
           mLog, [] { return core::boot_clock::now(); },
           [this](const std::string &inEndpoint) -> ownership::lease * {
               const auto found = mOwned.find(inEndpoint);
-              const bool wanted = found != mOwned.end() && found->second.state->wantsLease();
-              return wanted ? &found->second.state->lease() : nullptr;
+              const bool needed = found != mOwned.end() && found->second.state->needsLease();
+              return needed ? &found->second.state->lease() : nullptr;
           })
     , mTick(inRegistry.loop(), [this] { tick(); })
 {
@@ -48,9 +48,10 @@
         name(), [this](const catalog_changed &inChange) { applyCatalog(inChange); });
     mRegistry.handle<peers_changed>(
         name(), [this](const peers_changed &inChange) { applyPeers(inChange); });
-    mRegistry.handle<peer_connected>(
-        name(), [this](const peer_connected &inConnected) { publishAllTo(inConnected.instance); });
-    mRegistry.handle<paused>(name(), [this](const paused &) {
+    mRegistry.handle<peer_connected>(name(), [this](const peer_connected &inConnected) {
+        publishStatusesTo(inConnected.instance);
+    });
+    mRegistry.handle<process_paused>(name(), [this](const process_paused &) {
         for (auto &[endpoint, entry] : mOwned)
             entry.state->resumeAfterPause();
     });
@@ -65,7 +66,7 @@
         [this](const peer_received<run_cancel> &inReceived) { cancel(inReceived.message); });
     mRegistry.handle<peer_received<endpoint_status>>(
         name(), [this](const peer_received<endpoint_status> &inReceived) {
-            noteStatus(inReceived.message);
+            handlePeerStatus(inReceived.message);
         });
     mRegistry.handle<weight_load_result>(name(), [this](const weight_load_result &inResult) {
         const auto found = mOwned.find(inResult.endpoint);
@@ -110,7 +111,7 @@
     chooseEndpoints();
     for (const std::string &instance : mPeers.live) {
         if (instance != mOptions.instance && !isKnown(before, instance))
-            publishAllTo(instance);
+            publishStatusesTo(instance);
     }
 }
 
@@ -132,46 +133,46 @@
     const std::vector<ownership::owner_candidate> live = candidates();
     for (const auto &[name, view] : mCatalog->endpoints()) {
         const auto owner = ownership::chooseOwner(name, view.failureDomain, live);
-        const bool wanted = !mDraining && view.kind == settings::endpoint_kind::model
+        const bool assigned = !mDraining && view.kind == settings::endpoint_kind::model
             && owner == mOptions.instance;
         const auto found = mOwned.find(name);
-        if (wanted && (found == mOwned.end() || !found->second.obsolete))
-            wantEndpoint(view);
+        if (assigned && (found == mOwned.end() || !found->second.obsolete))
+            assignEndpoint(view);
         else if (found != mOwned.end())
-            found->second.state->setWanted(false);
+            found->second.state->setAssigned(false);
     }
     for (auto &[name, entry] : mOwned) {
         if (entry.obsolete)
-            entry.state->setWanted(false);
+            entry.state->setAssigned(false);
     }
 }
 
-void owner_service::wantEndpoint(const settings::endpoint_view &inView)
+void owner_service::assignEndpoint(const settings::endpoint_view &inView)
 {
-    owned &entry = mOwned[inView.name];
+    owned_entry &entry = mOwned[inView.name];
     if (!entry.state) {
         entry.address = inView.address;
         entry.engine = std::make_unique<endpoint::engine_client>(
             mRegistry.loop(), http::parseAddress(inView.address));
-        entry.state = std::make_unique<owned_state>(
+        entry.state = std::make_unique<engine_endpoint>(
             *entry.engine, inView,
             owned_endpoint_options{.instance = mOptions.instance,
                                    .incarnation = mOptions.incarnation,
-                                   .firstLeaseSequence = ++mCreated << 32U,
+                                   .firstLeaseSequence = ++mCreatedCount << 32U,
                                    .ignoreUnknownUse = mOptions.ignoreUnknownUse},
-            hooksOf(inView.name));
+            makeHooks(inView.name));
         const auto known = mKnownFences.find(inView.name);
         if (known != mKnownFences.end())
-            entry.state->noteFence(known->second);
+            entry.state->observeFence(known->second);
     }
     const auto self = mCatalog->instances().find(mOptions.instance);
     const auto slot = std::distance(mCatalog->instances().begin(), self);
     entry.state->configure(inView, static_cast<std::size_t>(std::max(1, mCatalog->maxQueue())),
                            mCatalog->patientMaxWait(), static_cast<std::uint64_t>(slot));
-    entry.state->setWanted(true);
+    entry.state->setAssigned(true);
 }
 
-owned_endpoint_hooks owner_service::hooksOf(const std::string &inEndpoint)
+owned_endpoint_hooks owner_service::makeHooks(const std::string &inEndpoint)
 {
     return {.now = [] { return core::boot_clock::now(); },
             .sendEvent = [this](const std::string &inOrigin,
@@ -196,7 +197,7 @@
 {
     if (mRegistry.post("admission", weight_load_request{inEndpoint, inAdapter, inVersion}))
         return;
-    // Without an admission service, as in tests of this service alone, nothing limits loads.
+    // Without an admission service, as in isolated tests of this service, loads are not limited.
     mRegistry.post(name(), weight_load_result{inEndpoint, inAdapter, inVersion, true, {}});
 }
 
@@ -229,20 +230,20 @@
         entry.state->cancel(inCancel.requestId, inCancel.origin);
 }
 
-void owner_service::noteStatus(const endpoint_status &inStatus)
+void owner_service::handlePeerStatus(const endpoint_status &inStatus)
 {
     std::uint64_t &known = mKnownFences[inStatus.endpoint];
     known = std::max(known, inStatus.fence);
     const auto found = mOwned.find(inStatus.endpoint);
     if (found != mOwned.end())
-        found->second.state->noteFence(known);
+        found->second.state->observeFence(known);
 }
 
 void owner_service::startDrain()
 {
     mDraining = true;
     for (auto &[endpoint, entry] : mOwned)
-        mHandedOver += entry.state->startDrain();
+        mReturnedRuns += entry.state->startDrain();
     chooseEndpoints();
     reportDrained();
 }
@@ -252,7 +253,7 @@
     const core::time_point now = core::boot_clock::now();
     std::vector<std::string> leased;
     for (auto &[endpoint, entry] : mOwned) {
-        if (entry.state->wantsLease())
+        if (entry.state->needsLease())
             leased.push_back(endpoint);
     }
     mLeases.tick(leased);
@@ -265,22 +266,22 @@
         reportDrained();
 }
 
-void owner_service::publish(owned &ioOwned, core::time_point inNow)
+void owner_service::publish(owned_entry &ioEntry, core::time_point inNow)
 {
-    std::optional<endpoint_status> status = ioOwned.state->status();
-    if (!status && ioOwned.published && ioOwned.published->accepting) {
-        status = ioOwned.published;
+    std::optional<endpoint_status> status = ioEntry.state->status();
+    if (!status && ioEntry.published && ioEntry.published->accepting) {
+        status = ioEntry.published;
         status->accepting = false;
     }
-    if (!status || status == ioOwned.published || inNow - ioOwned.publishedAt < cPublishPeriod)
+    if (!status || status == ioEntry.published || inNow - ioEntry.publishedAt < cPublishPeriod)
         return;
-    ioOwned.published = status;
-    ioOwned.publishedAt = inNow;
+    ioEntry.published = status;
+    ioEntry.publishedAt = inNow;
     mRegistry.post("dispatch", *status);
     mRegistry.post("peers", peer_send{"", *status});
 }
 
-void owner_service::publishAllTo(const std::string &inInstance)
+void owner_service::publishStatusesTo(const std::string &inInstance)
 {
     for (const auto &[endpoint, entry] : mOwned) {
         if (entry.published && entry.state->status())
@@ -292,13 +293,13 @@
 {
     bool replaced = false;
     for (auto entry = mOwned.begin(); entry != mOwned.end();) {
-        owned &current = entry->second;
-        const bool done = !current.state->isWanted() && !current.state->hasRuns()
+        owned_entry &current = entry->second;
+        const bool done = !current.state->isAssigned() && !current.state->hasRuns()
             && !current.state->status() && !(current.published && current.published->accepting);
         replaced = replaced || (done && current.obsolete);
         entry = done ? mOwned.erase(entry) : std::next(entry);
     }
-    // An endpoint with a new address is owned anew.
+    // An endpoint whose address changed gets a new entry.
     if (replaced)
         chooseEndpoints();
 }
@@ -309,7 +310,7 @@
         mOwned, [](const auto &inEntry) { return inEntry.second.state->hasRuns(); });
     if (running || std::exchange(mDrainReported, true))
         return;
-    mRegistry.post("drain", endpoints_drained{mHandedOver});
+    mRegistry.post("drain", endpoints_drained{mReturnedRuns});
 }
 
 std::string owner_service::dump() const
--- a/corneltally/entry/owner_service.h
+++ b/corneltally/entry/owner_service.h
@@ -31,12 +31,12 @@
     std::uint64_t incarnation = 0;
     /// Address of the platform, for leases.
     http::address platform;
-    /// Takes adapters whose use is not known for unused; only for tests.
+    /// Treats adapters whose use is unknown as unused; only for tests.
     bool ignoreUnknownUse = false;
 };
 
-/// Owns endpoints: decides which ones this instance owns, and connects their logic with the other
-/// services and with peers.
+/// Determines which endpoints this instance owns and connects them with the other services and with
+/// peers.
 class owner_service : public kernel::service
 {
 public:
@@ -48,15 +48,15 @@
     std::string dump() const override;
 
 private:
-    using owned_state = owned_endpoint<endpoint::engine_client>;
+    using engine_endpoint = owned_endpoint<endpoint::engine_client>;
 
-    struct owned
+    struct owned_entry
     {
-        std::unique_ptr<owned_state> state;
-        /// Declared after the state, so that its calls end before the state that they report to.
+        std::unique_ptr<engine_endpoint> state;
+        /// Declared after the state and thus destroyed first, since its calls report to the state.
         std::unique_ptr<endpoint::engine_client> engine;
         std::string address;
-        /// The tree names another address, or the endpoint no more.
+        /// The settings tree has another address or no longer has the endpoint.
         bool obsolete = false;
         std::optional<endpoint_status> published;
         core::time_point publishedAt;
@@ -68,20 +68,20 @@
     void startDrain();
     void submit(const run_submit &inSubmit);
     void cancel(const run_cancel &inCancel);
-    void noteStatus(const endpoint_status &inStatus);
+    void handlePeerStatus(const endpoint_status &inStatus);
 
-    /// Chooses again which endpoints this instance owns.
+    /// Recomputes which endpoints are assigned to this instance.
     void chooseEndpoints();
     std::vector<ownership::owner_candidate> candidates() const;
-    void wantEndpoint(const settings::endpoint_view &inView);
-    owned_endpoint_hooks hooksOf(const std::string &inEndpoint);
+    void assignEndpoint(const settings::endpoint_view &inView);
+    owned_endpoint_hooks makeHooks(const std::string &inEndpoint);
     void admitLoad(const std::string &inEndpoint, const std::string &inAdapter,
                    const std::string &inVersion);
     void sendEvent(const std::string &inOrigin, run_event inEvent);
 
     void tick();
-    void publish(owned &ioOwned, core::time_point inNow);
-    void publishAllTo(const std::string &inInstance);
+    void publish(owned_entry &ioEntry, core::time_point inNow);
+    void publishStatusesTo(const std::string &inInstance);
     void removeUnused();
     void reportDrained();
 
@@ -89,14 +89,14 @@
     owner_options mOptions;
     std::shared_ptr<const settings::catalog> mCatalog;
     peers_changed mPeers;
-    std::map<std::string, owned, std::less<>> mOwned;
-    /// Greatest fencing number that was published for each endpoint.
+    std::map<std::string, owned_entry, std::less<>> mOwned;
+    /// Highest fencing number that peers published for each endpoint.
     std::map<std::string, std::uint64_t, std::less<>> mKnownFences;
-    /// Endpoints created so far; keeps the sequence numbers of their leases apart.
-    std::uint64_t mCreated = 0;
+    /// Number of entries created; gives each lease its own range of sequence numbers.
+    std::uint64_t mCreatedCount = 0;
     bool mDraining = false;
     bool mDrainReported = false;
-    std::size_t mHandedOver = 0;
+    std::size_t mReturnedRuns = 0;
     platform::log_client mLog;
     lease_sync<platform::log_client> mLeases;
     kernel::timer mTick;
--- a/corneltally/entry/peers_service.cpp
+++ b/corneltally/entry/peers_service.cpp
@@ -17,13 +17,13 @@
 
 constexpr core::duration cTickPeriod = 50ms;
 constexpr core::duration cHeartbeatPeriod = 250ms;
-/// Least time between two attempts to connect to the same peer.
+/// Minimum time between two attempts to connect to the same peer.
 constexpr core::duration cDialPeriod = 500ms;
-/// Longest time that a lone instance waits for its peers after a start or a pause before it takes
-/// them as down. It covers the silence limit and one more attempt to connect.
+/// Maximum time after a start or a pause that an instance waits for its peers before it considers
+/// them down. It covers the silence limit and one more attempt to connect.
 constexpr core::duration cViewHold = membership::peer_table::cDownAfter + 500ms;
 
-std::string joinNames(const std::vector<std::string> &inNames)
+std::string joinAsJson(const std::vector<std::string> &inNames)
 {
     std::string text;
     for (const std::string &name : inNames)
@@ -31,7 +31,7 @@
     return text;
 }
 
-std::string listNames(const std::vector<std::string> &inNames)
+std::string joinWithSpaces(const std::vector<std::string> &inNames)
 {
     std::string text;
     for (const std::string &name : inNames)
@@ -39,14 +39,14 @@
     return text;
 }
 
-/// Tells the origin of a run that its answer does not fit into a frame.
-peer_message tooLongEnd(const run_event &inEvent)
+/// Makes the end of a run whose answer exceeds the frame size limit.
+peer_message makeTooLongEnd(const run_event &inEvent)
 {
     return run_event{inEvent.requestId,
                      run_end{.outcome = run_outcome::unknown,
                              .error = {core::error_kind::internal,
-                                       "a part of the answer is too long to be passed on",
-                                       "ask for a shorter answer, or for a stream"}}};
+                                       "a part of the answer exceeds the frame size limit",
+                                       "request a shorter answer or a stream"}}};
 }
 
 } // namespace
@@ -64,9 +64,9 @@
     mRegistry.handle<peer_send>(name(), [this](const peer_send &inSend) { send(inSend); });
     mRegistry.handle<catalog_changed>(
         name(), [this](const catalog_changed &inChange) { applyCatalog(inChange); });
-    mRegistry.handle<paused>(name(), [this](const paused &) {
-        // Silence during the own pause says nothing about the peers.
-        mViewHold = core::boot_clock::now() + cViewHold;
+    mRegistry.handle<process_paused>(name(), [this](const process_paused &) {
+        // Silence during a pause of this process does not show that peers are down.
+        mViewHoldUntil = core::boot_clock::now() + cViewHold;
     });
     mRegistry.handle<drain_started>(name(), [this](const drain_started &) {
         mTable.startDrain();
@@ -86,8 +86,8 @@
 
 void peers_service::start()
 {
-    // Until the first tree is loaded, the addresses of the process settings are all that is known,
-    // and a peer may be the only source of the tree.
+    // Until the first settings tree is loaded, only the addresses of the process settings are
+    // known, and a peer may be the only source of the tree.
     std::vector<std::string> names{mOptions.instance};
     for (const auto &[instance, address] : mOptions.addresses) {
         names.push_back(instance);
@@ -117,8 +117,8 @@
     }
     mRemotes = std::move(remotes);
     mTable.setInstances(names);
-    if (!mViewHold)
-        mViewHold = core::boot_clock::now() + cViewHold;
+    if (!mViewHoldUntil)
+        mViewHoldUntil = core::boot_clock::now() + cViewHold;
 }
 
 void peers_service::tick()
@@ -138,7 +138,7 @@
 void peers_service::sendHeartbeats(core::time_point inNow)
 {
     for (const auto &[id, link] : mLinks) {
-        if (!link.greeted)
+        if (!link.helloSent)
             continue;
         const auto known = mTable.entries().find(link.instance);
         const std::uint64_t receiver
@@ -166,7 +166,7 @@
     for (auto &entry : mRemotes) {
         const std::string &instance = entry.first;
         remote &target = entry.second;
-        // A connection that still makes progress, or one that is still being opened, is enough.
+        // One connection that makes progress or is being opened is sufficient.
         const bool connected = std::ranges::any_of(mLinks, [&](const auto &inEntry) {
             const link &candidate = inEntry.second;
             return candidate.dialed && candidate.instance == instance
@@ -187,7 +187,7 @@
 {
     remote &target = mRemotes.find(inInstance)->second;
     const auto healthy = [&](const link &inLink) {
-        return inLink.greeted && inLink.instance == inInstance && inLink.incarnation != 0
+        return inLink.helloSent && inLink.instance == inInstance && inLink.incarnation != 0
             && inNow - inLink.connection->lastProgress() < membership::peer_table::cSuspectAfter;
     };
     const auto current = mLinks.find(target.active);
@@ -206,17 +206,18 @@
 
 void peers_service::publishView(core::time_point inNow)
 {
-    if (!mViewHold)
+    if (!mViewHoldUntil)
         return;
     const membership::peer_table::view view = mTable.viewAt(inNow);
     const bool complete = view.live.size() + view.draining.size() >= mRemotes.size() + 1;
-    if (inNow < *mViewHold && !complete && !mTable.isDraining())
+    if (inNow < *mViewHoldUntil && !complete && !mTable.isDraining())
         return;
     peers_changed change{.live = view.live, .draining = view.draining};
     if (mPublished == change)
         return;
-    core::logEvent(core::log_level::info, "peers_changed",
-                   {{"live", listNames(change.live)}, {"draining", listNames(change.draining)}});
+    core::logEvent(
+        core::log_level::info, "peers_changed",
+        {{"live", joinWithSpaces(change.live)}, {"draining", joinWithSpaces(change.draining)}});
     mPublished = change;
     mRegistry.broadcast(change);
 }
@@ -232,8 +233,8 @@
         {.onFrame = [this, id](std::string_view inBody) { receiveFrame(id, inBody); },
          .onClosed = [this, id](std::string_view inReason) { closeLink(id, inReason); }});
     if (added.dialed) {
-        added.connection->send(helloFor(added.instance));
-        added.greeted = true;
+        added.connection->send(encodeHello(added.instance));
+        added.helloSent = true;
     }
 }
 
@@ -287,7 +288,7 @@
     if (source.refused)
         return;
     if (source.incarnation == 0) {
-        closeLink(inLink, "a message came before the hello");
+        closeLink(inLink, "received a message before the hello");
         return;
     }
     const std::string instance = source.instance;
@@ -296,8 +297,8 @@
     if (outcome == membership::update_outcome::outdated
         || outcome == membership::update_outcome::ignored)
         return;
-    if (const auto *beat = std::get_if<peer_heartbeat>(&message.value())) {
-        receiveHeartbeat(source, *beat);
+    if (const auto *heartbeat = std::get_if<peer_heartbeat>(&message.value())) {
+        receiveHeartbeat(source, *heartbeat);
     } else if (std::holds_alternative<peer_drain_notice>(message.value())) {
         mTable.recordMessage(instance, source.incarnation, true, now);
         publishView(now);
@@ -324,18 +325,18 @@
         return;
     }
     source.instance = inHello.instance;
-    if (!source.greeted) {
-        // Also tells an outdated process which incarnation replaced it.
-        source.connection->send(helloFor(source.instance));
-        source.greeted = true;
+    if (!source.helloSent) {
+        // The hello also informs an outdated process of the incarnation that replaced it.
+        source.connection->send(encodeHello(source.instance));
+        source.helloSent = true;
     }
     if (outcome == membership::update_outcome::outdated) {
         source.refused = true;
         return;
     }
     if (outcome == membership::update_outcome::ignored) {
-        // The peer tries again, so that it is accepted once the tree names it.
-        closeLink(inLink, "the tree does not name the peer");
+        // The peer connects again and is accepted once the settings tree names it.
+        closeLink(inLink, "the settings tree does not name the peer");
         return;
     }
     source.incarnation = inHello.incarnation;
@@ -346,12 +347,12 @@
     publishView(now);
 }
 
-void peers_service::receiveHeartbeat(const link &inLink, const peer_heartbeat &inBeat)
+void peers_service::receiveHeartbeat(const link &inLink, const peer_heartbeat &inHeartbeat)
 {
-    checkSuperseded(inBeat.receiverIncarnation);
+    checkSuperseded(inHeartbeat.receiverIncarnation);
     const core::time_point now = core::boot_clock::now();
-    mTable.recordMessage(inLink.instance, inLink.incarnation, inBeat.draining, now);
-    mRegistry.broadcast(peer_version{inLink.instance, inBeat.settingsVersion});
+    mTable.recordMessage(inLink.instance, inLink.incarnation, inHeartbeat.draining, now);
+    mRegistry.broadcast(peer_settings_version{inLink.instance, inHeartbeat.settingsVersion});
     publishView(now);
 }
 
@@ -369,7 +370,7 @@
     if (inIncarnation <= mOptions.incarnation || mSupersededReported)
         return;
     mSupersededReported = true;
-    mRegistry.broadcast(superseded{});
+    mRegistry.broadcast(instance_superseded{});
 }
 
 void peers_service::send(const peer_send &inSend)
@@ -383,13 +384,13 @@
     const bool concernsRun = std::holds_alternative<run_submit>(inSend.message)
         || std::holds_alternative<run_cancel>(inSend.message)
         || std::holds_alternative<run_event>(inSend.message);
-    // Other messages are repeated by their senders.
+    // Senders repeat all other messages.
     if (sendTo(inSend.instance, body) || !concernsRun)
         return;
     if (body.size() <= peer::cMaxFrameBytes)
         reportLost(inSend.instance);
     else if (const auto *event = std::get_if<run_event>(&inSend.message))
-        sendTo(inSend.instance, encodePeerFrame(tooLongEnd(*event), core::boot_clock::now()));
+        sendTo(inSend.instance, encodePeerFrame(makeTooLongEnd(*event), core::boot_clock::now()));
 }
 
 bool peers_service::sendTo(const std::string &inInstance, std::string_view inBody)
@@ -405,7 +406,7 @@
                        {{"peer", inInstance}, {"bytes", inBody.size()}});
         return false;
     }
-    closeLink(active, "the peer does not take what it is sent");
+    closeLink(active, "the connection is closed or its send buffer is full");
     return false;
 }
 
@@ -414,7 +415,7 @@
     mRegistry.broadcast(peer_lost{inInstance});
 }
 
-std::string peers_service::helloFor(const std::string &inInstance) const
+std::string peers_service::encodeHello(const std::string &inInstance) const
 {
     const auto known = mTable.entries().find(inInstance);
     const std::uint64_t receiver = known == mTable.entries().end() ? 0 : known->second.incarnation;
@@ -427,8 +428,8 @@
     const core::time_point now = core::boot_clock::now();
     const membership::peer_table::view view = mTable.viewAt(now);
     std::string text = "{\"incarnation\":" + std::to_string(mOptions.incarnation);
-    text.append(",\"live\":[").append(joinNames(view.live));
-    text.append("],\"draining\":[").append(joinNames(view.draining)).append("],\"links\":[");
+    text.append(",\"live\":[").append(joinAsJson(view.live));
+    text.append("],\"draining\":[").append(joinAsJson(view.draining)).append("],\"links\":[");
     bool first = true;
     for (const auto &[id, link] : mLinks) {
         const auto silent = now - link.connection->lastProgress();
--- a/corneltally/entry/settings_publisher.h
+++ b/corneltally/entry/settings_publisher.h
@@ -20,7 +20,7 @@
 enum class publish_outcome : std::uint8_t {
     accepted,
     rejected,
-    /// Certain: the change is not on the log.
+    /// The change is certainly not on the log.
     not_published,
     /// The change may be on the log, or its verdict could not be read.
     unknown,
@@ -34,37 +34,37 @@
     core::error reason;
 };
 
-/// Publishes changes for an operator: follows the log from its start, appends a change and reports
-/// the verdict that every reader reaches. A lost answer is resolved by looking the change id up on
-/// the log before the record is sent again.
+/// Publishes changes for an operator: reads the log from its start, appends a change and reports
+/// the verdict that every reader of the log reaches. After a lost answer it looks up the change id
+/// on the log before it sends the record again.
 template <platform::log_service Log>
 class settings_publisher
 {
 public:
-    /// Gives up after the time limit for loading and for each change.
+    /// inTimeLimit applies to loading and to each change.
     settings_publisher(kernel::event_loop &inLoop, Log &inLog, core::duration inTimeLimit);
 
-    /// Reads the log to its end. The handler gets the reason if that failed.
+    /// Reads the log to its end. The handler receives the reason of a failure.
     void load(std::function<void(const std::optional<core::error> &)> inHandler);
 
-    /// Publishes one change that has an id and a base; load() has to have succeeded.
+    /// Publishes one change that has an id and a base; load() must have succeeded.
     void publish(const settings::change &inChange,
                  std::function<void(const publish_result &)> inHandler);
 
     const settings::settings_replica &replica() const { return mReplica; }
 
-    /// Verdict on a change that is on the log.
+    /// Returns the verdict on a change; empty if the change was not found on the log.
     std::optional<publish_result> findVerdict(const std::string &inId) const;
 
 private:
-    void readOn();
+    void readNextPage();
     void receivePage(const platform::read_result &inResult);
     void append();
     void receiveAppend(const platform::append_result &inResult);
-    void decide();
+    void advance();
     void finish(const publish_result &inResult);
-    void later(std::function<void()> inStep);
-    bool isLate() const { return core::boot_clock::now() >= mDeadline; }
+    void runLater(std::function<void()> inStep);
+    bool isTimedOut() const { return core::boot_clock::now() >= mDeadline; }
 
     Log &mLog;
     core::duration mTimeLimit;
@@ -79,7 +79,7 @@
     std::string mId;
     std::string mRecord;
     bool mMayBeOnLog = false;
-    std::optional<std::uint64_t> mAppendedAt;
+    std::optional<std::uint64_t> mAppendedOffset;
     core::time_point mDeadline;
     std::function<void()> mNextStep;
     kernel::timer mDelay;
@@ -101,7 +101,7 @@
 {
     mLoaded = std::move(inHandler);
     mDeadline = core::boot_clock::now() + mTimeLimit;
-    readOn();
+    readNextPage();
 }
 
 template <platform::log_service Log>
@@ -113,9 +113,9 @@
     mId = inChange.id;
     mRecord = inChange.toJson();
     mMayBeOnLog = false;
-    mAppendedAt.reset();
+    mAppendedOffset.reset();
     if (const auto verdict = findVerdict(mId))
-        later([this, result = *verdict] { finish(result); });
+        runLater([this, result = *verdict] { finish(result); });
     else
         append();
 }
@@ -138,23 +138,23 @@
 void settings_publisher<Log>::receiveAppend(const platform::append_result &inResult)
 {
     if (inResult.outcome == platform::append_outcome::appended)
-        mAppendedAt = inResult.offset;
+        mAppendedOffset = inResult.offset;
     else
         mLastFailure = inResult.reason;
     if (inResult.outcome != platform::append_outcome::refused)
         mMayBeOnLog = true;
     else if (!mMayBeOnLog) {
-        if (isLate())
+        if (isTimedOut())
             finish({publish_outcome::not_published, 0, mLastFailure});
         else
-            later([this] { append(); });
+            runLater([this] { append(); });
         return;
     }
-    readOn();
+    readNextPage();
 }
 
 template <platform::log_service Log>
-void settings_publisher<Log>::readOn()
+void settings_publisher<Log>::readNextPage()
 {
     mLog.read({.stream = "settings", .from = mReadFrom},
               [this](const platform::read_result &inResult) { receivePage(inResult); });
@@ -167,23 +167,23 @@
         || (inResult.outcome == platform::read_outcome::expired && inResult.first <= mReadFrom)) {
         mLastFailure = inResult.reason;
         mAtEnd = false;
-        if (isLate())
-            decide();
+        if (isTimedOut())
+            advance();
         else
-            later([this] { readOn(); });
+            runLater([this] { readNextPage(); });
         return;
     }
     mReplica.noteLogStart(inResult.first, 0);
     if (inResult.outcome == platform::read_outcome::expired) {
         mReadFrom = inResult.first;
-        readOn();
+        readNextPage();
         return;
     }
     for (const platform::log_record &record : inResult.records) {
         mReadFrom = record.offset + 1;
         for (const auto &verdict : mReplica.addLogRecord(record.offset, record.data, 0)) {
             const bool isAccepted = verdict.outcome == settings::record_outcome::accepted;
-            // The first record with an id decides; further copies of it are rejected.
+            // Only the first record with an id counts; readers reject further copies.
             if (!verdict.changeId.empty())
                 mVerdicts.emplace(verdict.changeId,
                                   publish_result{isAccepted ? publish_outcome::accepted
@@ -193,36 +193,36 @@
     }
     mAtEnd = mReadFrom >= inResult.next || inResult.records.empty();
     if (mAtEnd)
-        decide();
+        advance();
     else
-        readOn();
+        readNextPage();
 }
 
 template <platform::log_service Log>
-void settings_publisher<Log>::decide()
+void settings_publisher<Log>::advance()
 {
     if (mLoaded) {
         std::optional<core::error> reason;
         if (!mAtEnd)
             reason = mLastFailure;
         else if (mReplica.hasGap())
-            reason
-                = core::error{core::error_kind::unavailable,
-                              "the log does not reach back to the start and has no snapshot",
-                              "start an entry instance that knows the tree; it writes a snapshot"};
+            reason = core::error{
+                core::error_kind::unavailable,
+                "the log no longer holds its first records and has no snapshot",
+                "start an entry instance that has the settings tree; it writes a snapshot"};
         std::exchange(mLoaded, nullptr)(reason);
         return;
     }
     if (const auto verdict = findVerdict(mId)) {
         finish(*verdict);
-    } else if (isLate()) {
-        finish({publish_outcome::unknown, mAppendedAt.value_or(0), mLastFailure});
-    } else if (mAppendedAt) {
-        later([this] { readOn(); });
+    } else if (isTimedOut()) {
+        finish({publish_outcome::unknown, mAppendedOffset.value_or(0), mLastFailure});
+    } else if (mAppendedOffset) {
+        runLater([this] { readNextPage(); });
     } else {
-        // The end of the log was read after the append ended, and the change is not there. A copy
-        // that arrives even later is rejected by its id and its base.
-        later([this] { append(); });
+        // The log was read to its end after the append returned, and the change is not on it. If
+        // the lost record still arrives, readers reject the second copy by its id and its base.
+        runLater([this] { append(); });
     }
 }
 
@@ -234,12 +234,12 @@
 }
 
 template <platform::log_service Log>
-void settings_publisher<Log>::later(std::function<void()> inStep)
+void settings_publisher<Log>::runLater(std::function<void()> inStep)
 {
-    // Spreads the calls of an operator's command over an outage of the log.
-    constexpr core::duration cDelay = std::chrono::milliseconds(200);
+    // Limits the call rate of an operator's command during an outage of the log.
+    constexpr core::duration cRetryDelay = std::chrono::milliseconds(200);
     mNextStep = std::move(inStep);
-    mDelay.startOnce(cDelay);
+    mDelay.startOnce(cRetryDelay);
 }
 
 } // namespace corneltally::entry
--- a/corneltally/entry/settings_sync_service.h
+++ b/corneltally/entry/settings_sync_service.h
@@ -25,8 +25,8 @@
 
 namespace corneltally::entry {
 
-/// Keeps the settings tree current from the log and from peers, and announces each version to all
-/// services. Either source is enough: an instance that is cut off from the platform follows its
+/// Keeps the settings tree up to date from the log and from peers, and broadcasts each version to
+/// all services. One source is sufficient: an instance that cannot reach the platform follows its
 /// peers.
 template <platform::log_service Log>
 class settings_sync_service : public kernel::service
@@ -51,11 +51,11 @@
     void receiveRequest(const peer_received<settings_request> &inRequest);
     void receiveRecords(const peer_received<settings_records> &inRecords);
     void receiveSnapshot(const peer_received<settings_snapshot> &inSnapshot);
-    void forward(const std::vector<platform::log_record> &inRecords, std::uint64_t inFrom);
-    void askPeer(const std::string &inInstance);
-    void report(const verdicts &inVerdicts);
+    void forwardToPeers(const std::vector<platform::log_record> &inRecords, std::uint64_t inFrom);
+    void requestRecords(const std::string &inInstance);
+    void recordVerdicts(const verdicts &inVerdicts);
     void publish();
-    void announce();
+    void broadcastSettings();
     void confirm(core::time_point inAt);
     void checkSnapshot();
     void appendSnapshot();
@@ -71,7 +71,7 @@
     bool mLogEndSeen = false;
     core::duration mRetryDelay;
     std::optional<std::uint64_t> mPublished;
-    /// The catalog in force; the next one shares what does not change.
+    /// The current settings; their successor shares the unchanged parts.
     std::shared_ptr<const settings::catalog> mCatalog;
     std::optional<core::time_point> mConfirmed;
     /// When the log itself last confirmed the tree.
@@ -79,7 +79,7 @@
     std::vector<std::string> mLive;
     std::set<std::string, std::less<>> mLeaving;
     std::vector<std::string> mSnapshotParts;
-    std::optional<core::time_point> mSnapshotHold;
+    std::optional<core::time_point> mNextSnapshot;
     std::uint64_t mAccepted = 0;
     std::uint64_t mRejected = 0;
     std::string mLastRejection;
@@ -94,15 +94,15 @@
 namespace settings_sync_detail {
 
 constexpr std::string_view cStream = "settings";
-/// Bytes of records in one message to a peer, well below the limit of a frame.
+/// Maximum bytes of records in one message to a peer, well below the frame size limit.
 constexpr std::size_t cMaxMessageBytes = 512 * 1024;
-/// A log confirmation that is older than this is not passed on to peers.
-constexpr core::duration cPassOnAge = std::chrono::seconds(2);
-/// Greatest age of what a peer confirms: its own confirmation plus the time on a connection, which
-/// is closed after 2 s of silence.
-constexpr core::duration cPeerConfirmationAge = std::chrono::seconds(4);
-/// Time for a snapshot to come back from the log before another one may be written.
-constexpr core::duration cSnapshotHold = std::chrono::seconds(30);
+/// Maximum age of a log confirmation that is forwarded to peers.
+constexpr core::duration cMaxForwardAge = std::chrono::seconds(2);
+/// Maximum age of a confirmation by a peer: the age at which the peer still forwards it plus the
+/// time in transit on a connection, which is closed after 2 s of silence.
+constexpr core::duration cMaxPeerConfirmationAge = std::chrono::seconds(4);
+/// Minimum time between two snapshots, in which the first one can be read back from the log.
+constexpr core::duration cMinSnapshotInterval = std::chrono::seconds(30);
 
 } // namespace settings_sync_detail
 
@@ -116,7 +116,7 @@
     , mRetryDelay(mOptions.minRetryDelay)
     , mRandom(std::random_device()())
     , mRetryTimer(inRegistry.loop(), [this] { readLog(); })
-    , mPeerTimer(inRegistry.loop(), [this] { askPeer(""); })
+    , mPeerTimer(inRegistry.loop(), [this] { requestRecords(""); })
     , mSnapshotTimer(inRegistry.loop(), [this] { checkSnapshot(); })
 {
     mRegistry.handle<peer_received<settings_request>>(
@@ -126,19 +126,19 @@
     mRegistry.handle<peer_received<settings_snapshot>>(
         name(), [this](const auto &inSnapshot) { receiveSnapshot(inSnapshot); });
     mRegistry.handle<peer_connected>(
-        name(), [this](const peer_connected &inPeer) { askPeer(inPeer.instance); });
-    mRegistry.handle<peer_version>(name(), [this](const peer_version &inPeer) {
+        name(), [this](const peer_connected &inPeer) { requestRecords(inPeer.instance); });
+    mRegistry.handle<peer_settings_version>(name(), [this](const peer_settings_version &inPeer) {
         if (inPeer.version > mReplica.tree().version())
-            askPeer(inPeer.instance);
+            requestRecords(inPeer.instance);
     });
     mRegistry.handle<endpoints_leaving>(name(), [this](const endpoints_leaving &inLeaving) {
         mLeaving = inLeaving.names;
-        announce();
+        broadcastSettings();
     });
     mRegistry.handle<peers_changed>(
         name(), [this](const peers_changed &inChange) { mLive = inChange.live; });
-    mRegistry.handle<paused>(name(), [this](const paused &) {
-        // A read from before the pause would wait for an answer that may never come.
+    mRegistry.handle<process_paused>(name(), [this](const process_paused &) {
+        // The answer to a read that was sent before the pause may never arrive.
         mLog->cancelAll();
         mSnapshotParts.clear();
         readLog();
@@ -157,7 +157,7 @@
 void settings_sync_service<Log>::readLog()
 {
     mRetryTimer.cancel();
-    // Until the end of the log was seen there is nothing to wait for.
+    // Reads do not wait for new records until the end of the log was reached.
     const std::chrono::milliseconds wait
         = mLogEndSeen && mLogReachable ? mOptions.logWait : std::chrono::milliseconds(0);
     mLog->read(
@@ -184,8 +184,8 @@
         addPage(inResult);
         if (inResult.next < mReadFrom) {
             retryLater({core::error_kind::unavailable,
-                        "the log ends at " + std::to_string(inResult.next)
-                            + ", before records that were read from it",
+                        "the log ends at offset " + std::to_string(inResult.next)
+                            + ", before records that were already read",
                         "check that the platform address names the right log"});
             return;
         }
@@ -198,19 +198,19 @@
 {
     const std::uint64_t known = mReplica.nextOffset();
     for (const platform::log_record &record : inResult.records) {
-        report(mReplica.addLogRecord(record.offset, record.data, record.timeMs));
+        recordVerdicts(mReplica.addLogRecord(record.offset, record.data, record.timeMs));
         mReadFrom = std::max(mReadFrom, record.offset + 1);
     }
-    forward(inResult.records, known);
+    forwardToPeers(inResult.records, known);
     if (mReadFrom < inResult.next)
         return;
     mLogEndSeen = true;
     if (mReplica.hasGap()) {
-        askPeer("");
+        requestRecords("");
         return;
     }
     publish();
-    // A log that ends before what the tree covers does not confirm the tree.
+    // A log that ends before the offset that the tree covers does not confirm the tree.
     if (inResult.next < mReplica.nextOffset())
         return;
     mLogConfirmed = inResult.sentAt;
@@ -224,7 +224,7 @@
         core::logEvent(core::log_level::warning, "settings_log_unreachable",
                        {{"reason", inReason.message}, {"remedy", inReason.remedy}});
     mLogReachable = false;
-    // Full jitter, so that instances do not return all at once after an outage.
+    // The random delay keeps instances from reconnecting all at once after an outage.
     std::uniform_int_distribution<core::duration::rep> delay(mOptions.minRetryDelay.count() / 2,
                                                              mRetryDelay.count());
     mRetryTimer.startOnce(core::duration(delay(mRandom)));
@@ -239,7 +239,7 @@
     if (next == 0 || after >= next)
         return;
     const auto records = mReplica.recordsAfter(after, settings_sync_detail::cMaxMessageBytes);
-    // A peer without a tree gets the newest one at once, not its history.
+    // A peer without a tree receives the latest tree instead of its history.
     if (!records || (after == 0 && mReplica.tree().version() > 0)) {
         for (std::string &part : mReplica.snapshotRecords())
             mRegistry.post("peers",
@@ -250,8 +250,8 @@
     for (const auto &record : *records)
         answer.records.push_back({record.offset, record.data});
     const bool isConfirmed = mLogConfirmed
-        && core::boot_clock::now() - *mLogConfirmed <= settings_sync_detail::cPassOnAge;
-    // An answer without records says that the peer has what the log has.
+        && core::boot_clock::now() - *mLogConfirmed <= settings_sync_detail::cMaxForwardAge;
+    // An answer without records confirms that the peer is up to date with the log.
     if (!answer.records.empty() || isConfirmed)
         mRegistry.post("peers", peer_send{inRequest.instance, answer});
 }
@@ -260,21 +260,21 @@
 void settings_sync_service<Log>::receiveRecords(const peer_received<settings_records> &inRecords)
 {
     for (const settings_record &record : inRecords.message.records)
-        report(mReplica.addPeerRecord(record.offset, record.data));
+        recordVerdicts(mReplica.addPeerRecord(record.offset, record.data));
     if (mReplica.hasGap()) {
-        askPeer(inRecords.instance);
+        requestRecords(inRecords.instance);
         return;
     }
     publish();
     if (inRecords.message.records.empty())
-        confirm(core::boot_clock::now() - settings_sync_detail::cPeerConfirmationAge);
+        confirm(core::boot_clock::now() - settings_sync_detail::cMaxPeerConfirmationAge);
 }
 
 template <platform::log_service Log>
 void settings_sync_service<Log>::receiveSnapshot(const peer_received<settings_snapshot> &inSnapshot)
 {
     const std::uint64_t before = mReplica.nextOffset();
-    report(mReplica.addPeerSnapshot(inSnapshot.message.tree));
+    recordVerdicts(mReplica.addPeerSnapshot(inSnapshot.message.tree));
     if (mReplica.nextOffset() == before)
         return;
     core::logEvent(core::log_level::info, "settings_adopted_from_peer",
@@ -287,10 +287,10 @@
 }
 
 template <platform::log_service Log>
-void settings_sync_service<Log>::forward(const std::vector<platform::log_record> &inRecords,
-                                         std::uint64_t inFrom)
+void settings_sync_service<Log>::forwardToPeers(const std::vector<platform::log_record> &inRecords,
+                                                std::uint64_t inFrom)
 {
-    // While the history is read at the start, peers know it already.
+    // Peers already have the history that is read at the start.
     if (!mLogEndSeen)
         return;
     settings_records message;
@@ -304,9 +304,10 @@
     for (const platform::log_record &record : inRecords) {
         if (record.offset < inFrom)
             continue;
-        const bool isLong = settings::snapshot_part::sIsSnapshot(record.data);
+        const bool isSnapshot = settings::snapshot_part::sIsSnapshot(record.data);
         message.records.push_back(
-            {record.offset, isLong ? std::string(settings::cSnapshotPlaceholder) : record.data});
+            {record.offset,
+             isSnapshot ? std::string(settings::cSnapshotPlaceholder) : record.data});
         bytes += message.records.back().data.size();
         if (bytes >= settings_sync_detail::cMaxMessageBytes / 2)
             send();
@@ -315,14 +316,14 @@
 }
 
 template <platform::log_service Log>
-void settings_sync_service<Log>::askPeer(const std::string &inInstance)
+void settings_sync_service<Log>::requestRecords(const std::string &inInstance)
 {
     const std::uint64_t next = mReplica.nextOffset();
     mRegistry.post("peers", peer_send{inInstance, settings_request{next == 0 ? 0 : next - 1}});
 }
 
 template <platform::log_service Log>
-void settings_sync_service<Log>::report(const verdicts &inVerdicts)
+void settings_sync_service<Log>::recordVerdicts(const verdicts &inVerdicts)
 {
     for (const settings::record_verdict &verdict : inVerdicts) {
         if (verdict.outcome == settings::record_outcome::snapshot)
@@ -331,7 +332,7 @@
         (isAccepted ? mAccepted : mRejected) += 1;
         if (!isAccepted)
             mLastRejection = verdict.changeId + ": " + verdict.reason.message;
-        // The history that is read at the start was logged when it happened.
+        // Changes of the history that is read at the start were logged when they took effect.
         if (!mPublished)
             continue;
         core::logEvent(isAccepted ? core::log_level::info : core::log_level::warning,
@@ -354,11 +355,11 @@
     core::logEvent(core::log_level::info, "settings_in_force", {{"version", tree.version()}});
     mCatalog = std::make_shared<const settings::catalog>(tree, mOptions.endpointAddresses,
                                                          mCatalog.get());
-    announce();
+    broadcastSettings();
 }
 
 template <platform::log_service Log>
-void settings_sync_service<Log>::announce()
+void settings_sync_service<Log>::broadcastSettings()
 {
     if (!mCatalog)
         return;
@@ -382,12 +383,12 @@
 {
     const core::time_point now = core::boot_clock::now();
     if (!mLogReachable || !mLogEndSeen || !mSnapshotParts.empty()
-        || (mSnapshotHold && now < *mSnapshotHold)
+        || (mNextSnapshot && now < *mNextSnapshot)
         || !mReplica.snapshotDue(sWallClockMs(), snapshotRank()))
         return;
-    mSnapshotHold = now + settings_sync_detail::cSnapshotHold;
+    mNextSnapshot = now + settings_sync_detail::cMinSnapshotInterval;
     mSnapshotParts = mReplica.snapshotRecords();
-    // The last part is appended first; the order does not matter to readers.
+    // Parts are appended from last to first; readers accept any order.
     appendSnapshot();
 }
 
@@ -397,7 +398,7 @@
     mLog->append(std::string(settings_sync_detail::cStream), mSnapshotParts.back(),
                  [this](const platform::append_result &inResult) {
                      if (inResult.outcome != platform::append_outcome::appended) {
-                         // A part that is on the log all the same does no harm.
+                         // A part that was written despite the failure is harmless.
                          core::logEvent(core::log_level::warning, "settings_snapshot_failed",
                                         {{"reason", inResult.reason.message}});
                          mSnapshotParts.clear();
--- a/tests/unit/ownership_mock_engine.h
+++ b/tests/unit/ownership_mock_engine.h
@@ -13,7 +13,8 @@
 
 namespace corneltally::tests {
 
-/// The endpoint itself: what several owners' connections lead to. Counts violations of the rules.
+/// An endpoint that is shared by the connections of several owners. Counts unloads of adapters in
+/// use.
 struct mock_endpoint
 {
     struct stream
@@ -33,7 +34,7 @@
     int unloadsInUse = 0;
     int staleRefusals = 0;
 
-    bool passes(std::uint64_t inFence)
+    bool acceptsFence(std::uint64_t inFence)
     {
         if (!checksFence)
             return true;
@@ -45,7 +46,7 @@
         return true;
     }
 
-    int usesOf(const std::string &inAdapter) const
+    int runningCount(const std::string &inAdapter) const
     {
         return static_cast<int>(std::ranges::count_if(streams, [&](const auto &inEntry) {
             return inEntry.second.running && inEntry.second.adapter == inAdapter;
@@ -64,7 +65,7 @@
         std::string kind;
         std::string subject;
         std::uint64_t fence = 0;
-        /// Takes effect at the endpoint and returns what answers the call.
+        /// Applies the call at the endpoint and returns a function that delivers the answer.
         std::function<std::function<void()>()> perform;
         std::function<void()> fail;
     };
@@ -86,10 +87,10 @@
     {
         runs.push_back(inRun);
         const std::uint64_t id = mNextId++;
-        const std::string adapter = modelOf(inRun.body);
+        const std::string adapter = adapterOf(inRun.body);
         add({id, "run", inRun.requestId, inRun.fence,
              [this, inRun, adapter, inEvents]() -> std::function<void()> {
-                 if (!mEndpoint.passes(inRun.fence))
+                 if (!mEndpoint.acceptsFence(inRun.fence))
                      return refusal(inEvents, endpoint::engine_outcome::stale_fence);
                  if (!mEndpoint.resident.contains(adapter))
                      return refusal(inEvents, endpoint::engine_outcome::not_resident);
@@ -130,7 +131,7 @@
 
     void cancelCall(std::uint64_t inCall)
     {
-        // The connection is closed; bytes that were sent may still arrive.
+        // The connection is closed, but the request may still arrive at the endpoint.
         for (call &entry : calls) {
             if (entry.id == inCall)
                 entry.fail = [] {};
@@ -182,10 +183,10 @@
     {
         add({mNextId++, "register_fence", "", inFence,
              [this, inFence, inHandler]() -> std::function<void()> {
-                 const bool passes = mEndpoint.passes(inFence);
-                 return [passes, inFence, inHandler] {
-                     inHandler({passes ? endpoint::engine_outcome::completed
-                                       : endpoint::engine_outcome::stale_fence,
+                 const bool accepted = mEndpoint.acceptsFence(inFence);
+                 return [accepted, inFence, inHandler] {
+                     inHandler({accepted ? endpoint::engine_outcome::completed
+                                         : endpoint::engine_outcome::stale_fence,
                                 inFence, ""});
                  };
              },
@@ -206,7 +207,7 @@
                  for (const std::string &name : mEndpoint.resident) {
                      const std::size_t at = name.find('@');
                      state.resident.push_back(
-                         {name.substr(0, at), name.substr(at + 1), mEndpoint.usesOf(name)});
+                         {name.substr(0, at), name.substr(at + 1), mEndpoint.runningCount(name)});
                  }
                  return [state, inHandler] { inHandler(state); };
              },
@@ -222,7 +223,7 @@
             reply();
     }
 
-    /// The call takes effect, but its answer is lost.
+    /// Applies a call and loses its answer.
     void loseAnswer(std::size_t inIndex)
     {
         call entry = take(inIndex);
@@ -230,7 +231,8 @@
         entry.fail();
     }
 
-    /// The owner gives the call up; the bytes stay on their way and take effect later.
+    /// Fails a call for the owner and returns it; the request is in flight and may still be
+    /// applied.
     call interrupt(std::size_t inIndex)
     {
         call entry = take(inIndex);
@@ -239,7 +241,7 @@
         return entry;
     }
 
-    /// Delivers all calls until none is left.
+    /// Delivers calls until none is left.
     void deliverAll()
     {
         while (!calls.empty())
@@ -282,7 +284,7 @@
         events.onEnd({endpoint::engine_outcome::completed, static_cast<double>(stream.parts), ""});
     }
 
-    /// The connection of a running stream breaks; the stream goes on.
+    /// Interrupts the connection of a running stream; the stream continues at the endpoint.
     void breakConnection(const std::string &inRequestId)
     {
         const auto node = open.extract(inRequestId);
@@ -291,7 +293,7 @@
     }
 
 private:
-    static std::string modelOf(const std::string &inBody) { return inBody; }
+    static std::string adapterOf(const std::string &inBody) { return inBody; }
 
     static std::function<void()> refusal(const endpoint::engine_run_events &inEvents,
                                          endpoint::engine_outcome inOutcome)
@@ -305,7 +307,7 @@
         add({mNextId++, inKind, inAdapter, inFence,
              [this, inKind, inAdapter, inFence, inHandler]() -> std::function<void()> {
                  endpoint::engine_outcome outcome = endpoint::engine_outcome::completed;
-                 if (!mEndpoint.passes(inFence))
+                 if (!mEndpoint.acceptsFence(inFence))
                      outcome = endpoint::engine_outcome::stale_fence;
                  else if (inKind == "load" && mEndpoint.resident.size() >= mEndpoint.slots)
                      outcome = endpoint::engine_outcome::refused;
@@ -324,7 +326,7 @@
 
     void unloadNow(const std::string &inAdapter)
     {
-        mEndpoint.unloadsInUse += mEndpoint.usesOf(inAdapter) > 0 ? 1 : 0;
+        mEndpoint.unloadsInUse += mEndpoint.runningCount(inAdapter) > 0 ? 1 : 0;
         mEndpoint.resident.erase(inAdapter);
     }
 
