--- a/corneltally/entry/owned_endpoint_impl.h
+++ b/corneltally/entry/owned_endpoint_impl.h
@@ -32,7 +32,7 @@
     const bool fencingChanged = inView.checksFencing != mView.checksFencing;
     mView = inView;
     mFenceSlot = inFenceSlot;
-    scheduling::queue_settings queue = mQueue.settings();
+    scheduling::queue_options queue = mQueue.settings();
     queue.runSlots = mView.runSlots;
     queue.maxQueued = inMaxQueued;
     queue.patientMaxWait = inPatientMaxWait;
--- a/corneltally/orders/engine_keeper.cpp
+++ b/corneltally/orders/engine_keeper.cpp
@@ -52,7 +52,7 @@
     }
     mEntry = inEntry;
     mProfile = inProfile;
-    scheduling::slot_settings slots;
+    scheduling::slot_options slots;
     slots.slots = std::max(1, inProfile.adapterSlots);
     slots.popularityHalfLife = std::chrono::seconds(15);
     // Most refusals mean that another order is under way, which says nothing about the adapter.
--- a/corneltally/scheduling/adapter_slots.cpp
+++ b/corneltally/scheduling/adapter_slots.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-adapter_slots::adapter_slots(slot_settings inSettings)
+adapter_slots::adapter_slots(slot_options inSettings)
     : mSettings(inSettings)
 { }
 
--- a/corneltally/scheduling/adapter_slots.h
+++ b/corneltally/scheduling/adapter_slots.h
@@ -14,7 +14,7 @@
 namespace corneltally::scheduling {
 
 /// Constants of load and unload decisions.
-struct slot_settings
+struct slot_options
 {
     /// Adapters that can be resident at the same time.
     int slots = 4;
@@ -48,9 +48,9 @@
 public:
     enum class state { absent, loading, resident, unloading };
 
-    explicit adapter_slots(slot_settings inSettings = {});
+    explicit adapter_slots(slot_options inSettings = {});
 
-    void configure(slot_settings inSettings) { mSettings = inSettings; }
+    void configure(slot_options inSettings) { mSettings = inSettings; }
 
     /// A request for an adapter arrived.
     void requested(std::string_view inAdapter, double inTokens, core::time_point inNow);
@@ -117,7 +117,7 @@
                    core::time_point inNow);
     void endRetirement();
 
-    slot_settings mSettings;
+    slot_options mSettings;
     std::map<std::string, resident_state, std::less<>> mResident;
     /// Adapters that went away after the moment that the last report described.
     std::map<std::string, core::time_point, std::less<>> mRemoved;
--- a/corneltally/scheduling/endpoint_health.cpp
+++ b/corneltally/scheduling/endpoint_health.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-endpoint_health::endpoint_health(health_settings inSettings)
+endpoint_health::endpoint_health(health_options inSettings)
     : mSettings(inSettings)
 { }
 
--- a/corneltally/scheduling/endpoint_health.h
+++ b/corneltally/scheduling/endpoint_health.h
@@ -7,7 +7,7 @@
 namespace corneltally::scheduling {
 
 /// Constants of the health estimate.
-struct health_settings
+struct health_options
 {
     /// Consecutive failures after which an endpoint gets probes only.
     int failureLimit = 3;
@@ -23,7 +23,7 @@
 class endpoint_health
 {
 public:
-    explicit endpoint_health(health_settings inSettings = {});
+    explicit endpoint_health(health_options inSettings = {});
 
     /// Whether a request may be sent now. While the endpoint is being probed, one at a time.
     bool mayStart(core::time_point inNow) const;
@@ -52,7 +52,7 @@
 private:
     void endOne();
 
-    health_settings mSettings;
+    health_options mSettings;
     double mErrorRate = 0;
     core::duration mLatency{};
     int mConsecutiveFailures = 0;
--- a/corneltally/scheduling/endpoint_queue.cpp
+++ b/corneltally/scheduling/endpoint_queue.cpp
@@ -21,11 +21,11 @@
 
 } // namespace
 
-endpoint_queue::endpoint_queue(queue_settings inSettings)
+endpoint_queue::endpoint_queue(queue_options inSettings)
     : mSettings(inSettings)
 { }
 
-void endpoint_queue::configure(queue_settings inSettings)
+void endpoint_queue::configure(queue_options inSettings)
 {
     mSettings = inSettings;
 }
--- a/corneltally/scheduling/endpoint_queue.h
+++ b/corneltally/scheduling/endpoint_queue.h
@@ -15,7 +15,7 @@
 namespace corneltally::scheduling {
 
 /// Limits of the queue of one endpoint.
-struct queue_settings
+struct queue_options
 {
     /// Requests that run at the same time.
     int runSlots = 8;
@@ -36,10 +36,10 @@
 public:
     using eligibility = std::function<bool(const queued_request &)>;
 
-    explicit endpoint_queue(queue_settings inSettings = {});
+    explicit endpoint_queue(queue_options inSettings = {});
 
     /// Replaces the limits; requests that already wait are kept.
-    void configure(queue_settings inSettings);
+    void configure(queue_options inSettings);
 
     /// Queues a request; false if the queue is full.
     bool push(queued_request inRequest, core::time_point inNow);
@@ -68,7 +68,7 @@
     bool hasFreeSlot() const { return runningCount() < mSettings.runSlots; }
     int runningOf(std::string_view inAdapter) const;
     int queuedOf(std::string_view inAdapter) const;
-    const queue_settings &settings() const { return mSettings; }
+    const queue_options &settings() const { return mSettings; }
 
     /// Waiting requests by adapter, the most urgent first.
     std::vector<adapter_demand> demand(core::time_point inNow) const;
@@ -107,7 +107,7 @@
     void charge(const queued_request &inRequest);
     void releaseAccount(const std::string &inAccount);
 
-    queue_settings mSettings;
+    queue_options mSettings;
     /// In order of arrival; bounded by maxQueued, so that a scan is cheap.
     std::vector<waiting_request> mWaiting;
     std::unordered_map<std::string, running_request> mRunning;
--- a/corneltally/scheduling/placement.cpp
+++ b/corneltally/scheduling/placement.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-placement::placement(placement_settings inSettings)
+placement::placement(placement_options inSettings)
     : mSettings(inSettings)
 { }
 
--- a/corneltally/scheduling/placement.h
+++ b/corneltally/scheduling/placement.h
@@ -10,7 +10,7 @@
 namespace corneltally::scheduling {
 
 /// Constants of the number of copies.
-struct placement_settings
+struct placement_options
 {
     /// Concurrent requests of an adapter that one copy serves.
     double copyDemand = 4;
@@ -24,7 +24,7 @@
 class placement
 {
 public:
-    explicit placement(placement_settings inSettings = {});
+    explicit placement(placement_options inSettings = {});
 
     /// A run of an adapter was started or ended by this instance.
     void started(std::string_view inAdapter, core::time_point inNow);
@@ -54,7 +54,7 @@
     double decayed(const adapter_state &inState, core::time_point inNow) const;
     adapter_state &advance(std::string_view inAdapter, core::time_point inNow);
 
-    placement_settings mSettings;
+    placement_options mSettings;
     std::unordered_map<std::string, adapter_state> mAdapters;
 };
 
--- a/tests/unit/scheduling_endpoint_queue_test.cpp
+++ b/tests/unit/scheduling_endpoint_queue_test.cpp
@@ -23,7 +23,7 @@
     core::time_point now = cStart;
     int nextId = 0;
 
-    explicit queue_fixture(scheduling::queue_settings inSettings = {})
+    explicit queue_fixture(scheduling::queue_options inSettings = {})
         : queue(inSettings)
     { }
 
--- a/tests/unit/scheduling_simulation_test.cpp
+++ b/tests/unit/scheduling_simulation_test.cpp
@@ -190,8 +190,8 @@
 class fair_policy
 {
 public:
-    explicit fair_policy(core::duration inMinimumStay = scheduling::slot_settings().minimumStay,
-                         core::duration inRetireAfter = scheduling::slot_settings().retireAfter)
+    explicit fair_policy(core::duration inMinimumStay = scheduling::slot_options().minimumStay,
+                         core::duration inRetireAfter = scheduling::slot_options().retireAfter)
         : mSlots(
             {.slots = cAdapterSlots, .minimumStay = inMinimumStay, .retireAfter = inRetireAfter})
     { }
