--- a/corneltally/entry/owned_endpoint_impl.h
+++ b/corneltally/entry/owned_endpoint_impl.h
@@ -32,7 +32,7 @@
     const bool fencingChanged = inView.checksFencing != mView.checksFencing;
     mView = inView;
     mFenceSlot = inFenceSlot;
-    scheduling::queue_options queue = mQueue.settings();
+    scheduling::queue_options queue = mQueue.options();
     queue.runSlots = mView.runSlots;
     queue.maxQueued = inMaxQueued;
     queue.patientMaxWait = inPatientMaxWait;
@@ -305,7 +305,7 @@
     status.owner = mOptions.instance;
     status.fence = mTakeover.fence();
     status.accepting = (mayTakeRuns() || (isRenewing && !mView.leaving))
-        && mQueue.queuedCount() < mQueue.settings().maxQueued && mHealth.mayStart(mHooks.now());
+        && mQueue.queuedCount() < mQueue.options().maxQueued && mHealth.mayStart(mHooks.now());
     for (const std::string &name : mSlots.adaptersIn(scheduling::adapter_slots::state::resident)) {
         if (mSlots.mayStart(name))
             status.resident.push_back(splitAdapterName(name));
@@ -324,7 +324,7 @@
 {
     if (mQueue.hasFreeSlot())
         return {};
-    const int slots = std::max(1, mQueue.settings().runSlots);
+    const int slots = std::max(1, mQueue.options().runSlots);
     return mServiceTime * (static_cast<int>(mQueue.queuedCount()) + 1) / slots;
 }
 
--- a/corneltally/scheduling/adapter_slots.cpp
+++ b/corneltally/scheduling/adapter_slots.cpp
@@ -11,8 +11,8 @@
 
 } // namespace
 
-adapter_slots::adapter_slots(slot_options inSettings)
-    : mSettings(inSettings)
+adapter_slots::adapter_slots(slot_options inOptions)
+    : mOptions(inOptions)
 { }
 
 void adapter_slots::requested(std::string_view inAdapter, double inTokens, core::time_point inNow)
@@ -41,7 +41,7 @@
     }
     const int doublings = std::min(entry.failures, 16);
     entry.notBefore
-        = inNow + std::min(mSettings.maxBackoff, mSettings.firstBackoff * (1 << doublings));
+        = inNow + std::min(mOptions.maxBackoff, mOptions.firstBackoff * (1 << doublings));
     ++entry.failures;
     const auto found = mResident.find(inAdapter);
     if (found != mResident.end() && found->second.current == state::loading)
@@ -153,16 +153,16 @@
         endRetirement();
         return {};
     }
-    if (mResident.size() < static_cast<std::size_t>(mSettings.slots))
+    if (mResident.size() < static_cast<std::size_t>(mOptions.slots))
         return {slot_decision::action::load, wanted->adapter, wanted->adapter};
-    const bool mayRetire = inNow - wanted->oldest >= mSettings.retireAfter;
+    const bool mayRetire = inNow - wanted->oldest >= mOptions.retireAfter;
     const std::string *victim = nullptr;
     double least = 0;
     for (const auto &[name, entry] : mResident) {
         // One unload at a time is enough: the load that needs it comes next.
         if (entry.current == state::unloading)
             return {};
-        if (entry.current != state::resident || inNow - entry.since < mSettings.minimumStay
+        if (entry.current != state::resident || inNow - entry.since < mOptions.minimumStay
             || inInUse(name))
             continue;
         const auto demand = std::ranges::find(inDemand, name, &adapter_demand::adapter);
@@ -191,7 +191,7 @@
     const double elapsed = static_cast<double>((inNow - found->second.updated).count());
     return found->second.popularity
         * std::exp2(-std::max(0.0, elapsed)
-                    / static_cast<double>(mSettings.popularityHalfLife.count()));
+                    / static_cast<double>(mOptions.popularityHalfLife.count()));
 }
 
 void adapter_slots::prune(core::time_point inNow)
@@ -225,7 +225,7 @@
         // One at a time: the next one is retired only if requests still wait then.
         if (entry.retiring)
             return;
-        if (entry.current != state::resident || inNow - entry.since < mSettings.minimumStay)
+        if (entry.current != state::resident || inNow - entry.since < mOptions.minimumStay)
             continue;
         const auto found = std::ranges::find(inDemand, name, &adapter_demand::adapter);
         const adapter_demand *demand = found == inDemand.end() ? nullptr : &*found;
--- a/corneltally/scheduling/adapter_slots.h
+++ b/corneltally/scheduling/adapter_slots.h
@@ -48,9 +48,9 @@
 public:
     enum class state { absent, loading, resident, unloading };
 
-    explicit adapter_slots(slot_options inSettings = {});
+    explicit adapter_slots(slot_options inOptions = {});
 
-    void configure(slot_options inSettings) { mSettings = inSettings; }
+    void configure(slot_options inOptions) { mOptions = inOptions; }
 
     /// A request for an adapter arrived.
     void requested(std::string_view inAdapter, double inTokens, core::time_point inNow);
@@ -117,7 +117,7 @@
                    core::time_point inNow);
     void endRetirement();
 
-    slot_options mSettings;
+    slot_options mOptions;
     std::map<std::string, resident_state, std::less<>> mResident;
     /// Adapters that went away after the moment that the last report described.
     std::map<std::string, core::time_point, std::less<>> mRemoved;
--- a/corneltally/scheduling/endpoint_health.cpp
+++ b/corneltally/scheduling/endpoint_health.cpp
@@ -11,8 +11,8 @@
 
 } // namespace
 
-endpoint_health::endpoint_health(health_options inSettings)
-    : mSettings(inSettings)
+endpoint_health::endpoint_health(health_options inOptions)
+    : mOptions(inOptions)
 { }
 
 bool endpoint_health::mayStart(core::time_point inNow) const
@@ -30,35 +30,35 @@
 void endpoint_health::succeeded(core::duration inLatency, core::time_point inNow)
 {
     endOne();
-    mErrorRate -= mErrorRate * mSettings.smoothing;
+    mErrorRate -= mErrorRate * mOptions.smoothing;
     if (mLatency.count() == 0)
         mLatency = inLatency;
     else
         mLatency += core::duration(static_cast<core::duration::rep>(
-            static_cast<double>((inLatency - mLatency).count()) * mSettings.smoothing));
+            static_cast<double>((inLatency - mLatency).count()) * mOptions.smoothing));
     mConsecutiveFailures = 0;
     mBackoff = {};
     mNotBefore = inNow;
     if (!mAllowance)
         return;
     *mAllowance *= 2;
-    if (*mAllowance >= mSettings.fullAllowance)
+    if (*mAllowance >= mOptions.fullAllowance)
         mAllowance.reset();
 }
 
 void endpoint_health::failed(core::time_point inNow)
 {
     endOne();
-    mErrorRate += (1 - mErrorRate) * mSettings.smoothing;
+    mErrorRate += (1 - mErrorRate) * mOptions.smoothing;
     ++mConsecutiveFailures;
-    if (mConsecutiveFailures < mSettings.failureLimit && !mAllowance)
+    if (mConsecutiveFailures < mOptions.failureLimit && !mAllowance)
         return;
     // Requests that were already in flight fail together and count as one step of the back-off.
     if (mAllowance && inNow < mNotBefore)
         return;
     mAllowance = 1;
-    mBackoff = mBackoff.count() == 0 ? mSettings.firstBackoff
-                                     : std::min(mSettings.maxBackoff, mBackoff * 2);
+    mBackoff = mBackoff.count() == 0 ? mOptions.firstBackoff
+                                     : std::min(mOptions.maxBackoff, mBackoff * 2);
     mNotBefore = inNow + mBackoff;
 }
 
@@ -72,7 +72,7 @@
     if (!mayStart(inNow))
         return 0;
     const double allowed
-        = mAllowance ? static_cast<double>(*mAllowance) / mSettings.fullAllowance : 1.0;
+        = mAllowance ? static_cast<double>(*mAllowance) / mOptions.fullAllowance : 1.0;
     double speed = 1;
     if (inTypicalLatency.count() > 0 && mLatency > inTypicalLatency * 2)
         speed = 2 * static_cast<double>(inTypicalLatency.count())
--- a/corneltally/scheduling/endpoint_health.h
+++ b/corneltally/scheduling/endpoint_health.h
@@ -23,7 +23,7 @@
 class endpoint_health
 {
 public:
-    explicit endpoint_health(health_options inSettings = {});
+    explicit endpoint_health(health_options inOptions = {});
 
     /// Whether a request may be sent now. While the endpoint is being probed, one at a time.
     bool mayStart(core::time_point inNow) const;
@@ -52,7 +52,7 @@
 private:
     void endOne();
 
-    health_options mSettings;
+    health_options mOptions;
     double mErrorRate = 0;
     core::duration mLatency{};
     int mConsecutiveFailures = 0;
--- a/corneltally/scheduling/endpoint_queue.cpp
+++ b/corneltally/scheduling/endpoint_queue.cpp
@@ -21,18 +21,18 @@
 
 } // namespace
 
-endpoint_queue::endpoint_queue(queue_options inSettings)
-    : mSettings(inSettings)
+endpoint_queue::endpoint_queue(queue_options inOptions)
+    : mOptions(inOptions)
 { }
 
-void endpoint_queue::configure(queue_options inSettings)
+void endpoint_queue::configure(queue_options inOptions)
 {
-    mSettings = inSettings;
+    mOptions = inOptions;
 }
 
 bool endpoint_queue::push(queued_request inRequest, core::time_point inNow)
 {
-    if (mWaiting.size() >= mSettings.maxQueued)
+    if (mWaiting.size() >= mOptions.maxQueued)
         return false;
     assert(inRequest.weight > 0);
     if (inRequest.prompt)
@@ -185,7 +185,7 @@
 
 bool endpoint_queue::competesAsPrompt(const queued_request &inRequest, core::time_point inNow) const
 {
-    return inRequest.prompt || inNow - inRequest.arrived >= mSettings.patientMaxWait;
+    return inRequest.prompt || inNow - inRequest.arrived >= mOptions.patientMaxWait;
 }
 
 double endpoint_queue::startTag(const queued_request &inRequest) const
@@ -193,14 +193,14 @@
     const auto account = mAccounts.find(inRequest.account);
     assert(account != mAccounts.end());
     return std::max(account->second.virtualTime,
-                    mVirtualTime - cMaxLagQuanta * mSettings.quantumTokens);
+                    mVirtualTime - cMaxLagQuanta * mOptions.quantumTokens);
 }
 
 bool endpoint_queue::mayStartPatient(core::time_point inNow) const
 {
-    if (mSettings.runSlots < 2 || !mLastPrompt || inNow - *mLastPrompt > mSettings.promptReserve)
+    if (mOptions.runSlots < 2 || !mLastPrompt || inNow - *mLastPrompt > mOptions.promptReserve)
         return true;
-    return mRunningPatient < mSettings.runSlots - std::max(1, mSettings.runSlots / 4);
+    return mRunningPatient < mOptions.runSlots - std::max(1, mOptions.runSlots / 4);
 }
 
 std::vector<endpoint_queue::position> endpoint_queue::nextClass(const eligibility &inEligible,
@@ -214,7 +214,7 @@
             continue;
         (competesAsPrompt(request, inNow) ? prompt : patient).push_back(index);
     }
-    const bool patientIsOwedSlot = mRunningPatient < mSettings.runSlots / 4;
+    const bool patientIsOwedSlot = mRunningPatient < mOptions.runSlots / 4;
     if (!patient.empty() && patientIsOwedSlot)
         return patient;
     if (!prompt.empty())
@@ -232,9 +232,9 @@
         if (startTag(mWaiting[index].request) < startTag(mWaiting[first].request))
             first = index;
     }
-    if (mWaiting[first].bypassedTokens >= mSettings.quantumTokens)
+    if (mWaiting[first].bypassedTokens >= mOptions.quantumTokens)
         return first;
-    const double limit = startTag(mWaiting[first].request) + mSettings.quantumTokens;
+    const double limit = startTag(mWaiting[first].request) + mOptions.quantumTokens;
     std::optional<position> preferred;
     for (const position index : inPositions) {
         const queued_request &request = mWaiting[index].request;
--- a/corneltally/scheduling/endpoint_queue.h
+++ b/corneltally/scheduling/endpoint_queue.h
@@ -36,10 +36,10 @@
 public:
     using eligibility = std::function<bool(const queued_request &)>;
 
-    explicit endpoint_queue(queue_options inSettings = {});
+    explicit endpoint_queue(queue_options inOptions = {});
 
     /// Replaces the limits; requests that already wait are kept.
-    void configure(queue_options inSettings);
+    void configure(queue_options inOptions);
 
     /// Queues a request; false if the queue is full.
     bool push(queued_request inRequest, core::time_point inNow);
@@ -65,10 +65,10 @@
     std::size_t queuedCount() const { return mWaiting.size(); }
     double queuedTokens() const;
     int runningCount() const { return static_cast<int>(mRunning.size()); }
-    bool hasFreeSlot() const { return runningCount() < mSettings.runSlots; }
+    bool hasFreeSlot() const { return runningCount() < mOptions.runSlots; }
     int runningOf(std::string_view inAdapter) const;
     int queuedOf(std::string_view inAdapter) const;
-    const queue_options &settings() const { return mSettings; }
+    const queue_options &options() const { return mOptions; }
 
     /// Waiting requests by adapter, the most urgent first.
     std::vector<adapter_demand> demand(core::time_point inNow) const;
@@ -107,7 +107,7 @@
     void charge(const queued_request &inRequest);
     void releaseAccount(const std::string &inAccount);
 
-    queue_options mSettings;
+    queue_options mOptions;
     /// In order of arrival; bounded by maxQueued, so that a scan is cheap.
     std::vector<waiting_request> mWaiting;
     std::unordered_map<std::string, running_request> mRunning;
--- a/corneltally/scheduling/placement.cpp
+++ b/corneltally/scheduling/placement.cpp
@@ -12,8 +12,8 @@
 
 } // namespace
 
-placement::placement(placement_options inSettings)
-    : mSettings(inSettings)
+placement::placement(placement_options inOptions)
+    : mOptions(inOptions)
 { }
 
 void placement::started(std::string_view inAdapter, core::time_point inNow)
@@ -38,10 +38,10 @@
     const double average = decayed(state, inNow) / share;
     const double present = std::max(average, state.running / share);
     state.copies
-        = std::max(state.copies, static_cast<int>(std::ceil(present / mSettings.copyDemand)));
+        = std::max(state.copies, static_cast<int>(std::ceil(present / mOptions.copyDemand)));
     while (state.copies > 1
-           && average < (state.copies - 1) * mSettings.copyDemand / mSettings.hysteresis
-           && present <= (state.copies - 1) * mSettings.copyDemand)
+           && average < (state.copies - 1) * mOptions.copyDemand / mOptions.hysteresis
+           && present <= (state.copies - 1) * mOptions.copyDemand)
         --state.copies;
     return state.copies;
 }
@@ -63,7 +63,7 @@
 {
     const double elapsed = static_cast<double>((inNow - inState.updated).count());
     const double keep
-        = std::exp2(-std::max(0.0, elapsed) / static_cast<double>(mSettings.halfLife.count()));
+        = std::exp2(-std::max(0.0, elapsed) / static_cast<double>(mOptions.halfLife.count()));
     return inState.running + (inState.average - inState.running) * keep;
 }
 
--- a/corneltally/scheduling/placement.h
+++ b/corneltally/scheduling/placement.h
@@ -24,7 +24,7 @@
 class placement
 {
 public:
-    explicit placement(placement_options inSettings = {});
+    explicit placement(placement_options inOptions = {});
 
     /// A run of an adapter was started or ended by this instance.
     void started(std::string_view inAdapter, core::time_point inNow);
@@ -54,7 +54,7 @@
     double decayed(const adapter_state &inState, core::time_point inNow) const;
     adapter_state &advance(std::string_view inAdapter, core::time_point inNow);
 
-    placement_options mSettings;
+    placement_options mOptions;
     std::unordered_map<std::string, adapter_state> mAdapters;
 };
 
--- a/tests/unit/scheduling_endpoint_queue_test.cpp
+++ b/tests/unit/scheduling_endpoint_queue_test.cpp
@@ -23,8 +23,8 @@
     core::time_point now = cStart;
     int nextId = 0;
 
-    explicit queue_fixture(scheduling::queue_options inSettings = {})
-        : queue(inSettings)
+    explicit queue_fixture(scheduling::queue_options inOptions = {})
+        : queue(inOptions)
     { }
 
     std::string add(const std::string &inAccount, double inTokens = 100, bool inPrompt = true,
