--- a/corneltally/entry/owned_endpoint_adapters_impl.h
+++ b/corneltally/entry/owned_endpoint_adapters_impl.h
@@ -48,7 +48,7 @@
         return;
     // Unloads only once the following load is admitted; until then the resident adapter can serve.
     if (!mPermit) {
-        requestPermit(decision.wanted);
+        requestPermit(decision.adapterToLoad);
     } else if (mPermit->granted) {
         if (decision.kind == scheduling::slot_decision::action::unload)
             sendUnload(decision.adapter);
--- a/corneltally/entry/owned_endpoint_impl.h
+++ b/corneltally/entry/owned_endpoint_impl.h
@@ -275,7 +275,7 @@
     for (const endpoint::engine_adapter &entry : inState.loading)
         loading.push_back(adapterName(entry.adapter, entry.version));
     mTakeover.reported(uses, inState.described);
-    mSlots.reported(resident, loading, inState.described, mHooks.now());
+    mSlots.adaptersReported(resident, loading, inState.described, mHooks.now());
     mSlots.prune(mHooks.now());
     mReported = true;
     startRuns();
--- a/corneltally/entry/owned_endpoint_runs_impl.h
+++ b/corneltally/entry/owned_endpoint_runs_impl.h
@@ -58,7 +58,7 @@
         refuse(inSubmit, core::error_kind::overloaded, "the queue of the endpoint is full");
         return;
     }
-    mSlots.requested(adapter, tokens, mHooks.now());
+    mSlots.adapterRequested(adapter, tokens, mHooks.now());
     mWaiting.insert_or_assign(inSubmit.request.requestId, inSubmit);
     startRuns();
     decideSlots();
@@ -254,7 +254,7 @@
         mHealth.abandoned();
     const std::uint64_t fence = running.fence;
     if (inEnd.outcome == outcome::not_resident)
-        mSlots.missing(running.adapter, now);
+        mSlots.adapterMissing(running.adapter, now);
     finishRun(inRequestId, makeNotRunEnd(core::error_kind::unavailable, inEnd.reason), 0);
     if (inEnd.outcome == outcome::stale_fence)
         handleStaleFence(fence, inEnd.reason);
--- a/corneltally/orders/engine_keeper.cpp
+++ b/corneltally/orders/engine_keeper.cpp
@@ -77,7 +77,7 @@
 void engine_keeper::used(const std::string &inKey, core::time_point inNow)
 {
     mUsed[inKey] = inNow;
-    mSlots.requested(inKey, cUseWeight, inNow);
+    mSlots.adapterRequested(inKey, cUseWeight, inNow);
 }
 
 void engine_keeper::running(const std::string &inInstance, const std::string &inKey, bool inRunning,
@@ -417,7 +417,7 @@
         mUnresolved.reset();
         mNextReport = inNow + mSettings.reportPeriod;
     }
-    mSlots.reported(resident, arriving, described, inNow);
+    mSlots.adaptersReported(resident, arriving, described, inNow);
     std::erase_if(mArriving, [&](const auto &inEntry) {
         return mSlots.stateOf(inEntry.first) == scheduling::adapter_slots::state::absent;
     });
--- a/corneltally/scheduling/adapter_slots.cpp
+++ b/corneltally/scheduling/adapter_slots.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr double cNegligiblePopularity = 1;
+constexpr double cMinimumPopularity = 1;
 
 } // namespace
 
@@ -15,7 +15,8 @@
     : mOptions(inOptions)
 { }
 
-void adapter_slots::requested(std::string_view inAdapter, double inTokens, core::time_point inNow)
+void adapter_slots::adapterRequested(std::string_view inAdapter, double inTokens,
+                                     core::time_point inNow)
 {
     const double previous = popularity(inAdapter, inNow);
     history &entry = mHistory[std::string(inAdapter)];
@@ -40,8 +41,7 @@
         return;
     }
     const int doublings = std::min(entry.failures, 16);
-    entry.notBefore
-        = inNow + std::min(mOptions.maxBackoff, mOptions.firstBackoff * (1 << doublings));
+    entry.retryAt = inNow + std::min(mOptions.maxBackoff, mOptions.firstBackoff * (1 << doublings));
     ++entry.failures;
     const auto found = mResident.find(inAdapter);
     if (found != mResident.end() && found->second.current == state::loading)
@@ -54,7 +54,7 @@
     if (found == mResident.end())
         return;
     found->second.current = state::unloading;
-    found->second.commanded = true;
+    found->second.commandPending = true;
 }
 
 void adapter_slots::unloadEnded(std::string_view inAdapter, bool inUnloaded, core::time_point inNow)
@@ -68,42 +68,42 @@
         return;
     }
     found->second.current = state::resident;
-    found->second.commanded = false;
+    found->second.commandPending = false;
 }
 
-void adapter_slots::reported(std::span<const std::string> inResident,
-                             std::span<const std::string> inLoading, core::time_point inDescribed,
-                             core::time_point inNow)
+void adapter_slots::adaptersReported(std::span<const std::string> inResident,
+                                     std::span<const std::string> inLoading,
+                                     core::time_point inDescribed, core::time_point inNow)
 {
     const auto isIn = [](std::span<const std::string> inNames, const std::string &inName) {
         return std::ranges::find(inNames, inName) != inNames.end();
     };
     std::erase_if(mRemoved, [&](const auto &inEntry) { return inEntry.second < inDescribed; });
     std::erase_if(mResident, [&](const auto &inEntry) {
-        return !inEntry.second.commanded && inEntry.second.since < inDescribed
+        return !inEntry.second.commandPending && inEntry.second.since < inDescribed
             && !isIn(inResident, inEntry.first) && !isIn(inLoading, inEntry.first);
     });
-    const auto note = [&](const std::string &inName, state inState) {
+    const auto addReported = [&](const std::string &inName, state inState) {
         if (mRemoved.contains(inName))
             return;
         const auto [entry, isNew]
             = mResident.try_emplace(inName, resident_state{inState, inNow, false, false});
         resident_state &current = entry->second;
         // A load that another owner had started has ended.
-        if (!isNew && !current.commanded && current.current == state::loading
+        if (!isNew && !current.commandPending && current.current == state::loading
             && inState == state::resident)
             current = resident_state{inState, inNow, false, false};
     };
     for (const std::string &adapter : inResident)
-        note(adapter, state::resident);
+        addReported(adapter, state::resident);
     for (const std::string &adapter : inLoading)
-        note(adapter, state::loading);
+        addReported(adapter, state::loading);
 }
 
-void adapter_slots::missing(std::string_view inAdapter, core::time_point inNow)
+void adapter_slots::adapterMissing(std::string_view inAdapter, core::time_point inNow)
 {
     const auto found = mResident.find(inAdapter);
-    if (found == mResident.end() || found->second.commanded)
+    if (found == mResident.end() || found->second.commandPending)
         return;
     mRemoved.insert_or_assign(found->first, inNow);
     mResident.erase(found);
@@ -148,14 +148,14 @@
                                     const std::function<bool(const std::string &)> &inInUse,
                                     core::time_point inNow)
 {
-    const adapter_demand *wanted = mostUrgentMissing(inDemand, inNow);
-    if (wanted == nullptr) {
+    const adapter_demand *waiting = mostUrgentMissing(inDemand, inNow);
+    if (waiting == nullptr) {
         endRetirement();
         return {};
     }
     if (mResident.size() < static_cast<std::size_t>(mOptions.slots))
-        return {slot_decision::action::load, wanted->adapter, wanted->adapter};
-    const bool mayRetire = inNow - wanted->oldest >= mOptions.retireAfter;
+        return {slot_decision::action::load, waiting->adapter, waiting->adapter};
+    const bool mayRetire = inNow - waiting->oldest >= mOptions.retireAfter;
     const std::string *victim = nullptr;
     double least = 0;
     for (const auto &[name, entry] : mResident) {
@@ -166,9 +166,9 @@
             || inInUse(name))
             continue;
         const auto demand = std::ranges::find(inDemand, name, &adapter_demand::adapter);
-        const bool isWanted = demand != inDemand.end() && !entry.retiring
-            && !(mayRetire && wanted->precedes(*demand));
-        if (isWanted)
+        const bool isProtected = demand != inDemand.end() && !entry.retiring
+            && !(mayRetire && waiting->precedes(*demand));
+        if (isProtected)
             continue;
         const double value = entry.retiring ? -1 : popularity(name, inNow);
         if (victim == nullptr || value < least) {
@@ -177,9 +177,9 @@
         }
     }
     if (victim != nullptr)
-        return {slot_decision::action::unload, *victim, wanted->adapter};
+        return {slot_decision::action::unload, *victim, waiting->adapter};
     if (mayRetire)
-        retireOne(inDemand, *wanted, inNow);
+        retireOne(inDemand, *waiting, inNow);
     return {};
 }
 
@@ -197,8 +197,8 @@
 void adapter_slots::prune(core::time_point inNow)
 {
     std::erase_if(mHistory, [&](const auto &inEntry) {
-        return popularity(inEntry.first, inNow) < cNegligiblePopularity
-            && inEntry.second.notBefore <= inNow;
+        return popularity(inEntry.first, inNow) < cMinimumPopularity
+            && inEntry.second.retryAt <= inNow;
     });
 }
 
@@ -209,7 +209,7 @@
         if (stateOf(demand.adapter) != state::absent)
             continue;
         const auto found = mHistory.find(demand.adapter);
-        if (found == mHistory.end() || found->second.notBefore <= inNow)
+        if (found == mHistory.end() || found->second.retryAt <= inNow)
             return &demand;
     }
     return nullptr;
--- a/corneltally/scheduling/adapter_slots.h
+++ b/corneltally/scheduling/adapter_slots.h
@@ -37,7 +37,7 @@
     action kind = action::none;
     std::string adapter;
     /// The adapter that needs the slot: the one to load now or after the unload.
-    std::string wanted;
+    std::string adapterToLoad;
 
     friend auto operator<=>(const slot_decision &, const slot_decision &) = default;
 };
@@ -53,7 +53,7 @@
     void configure(slot_options inOptions) { mOptions = inOptions; }
 
     /// A request for an adapter arrived.
-    void requested(std::string_view inAdapter, double inTokens, core::time_point inNow);
+    void adapterRequested(std::string_view inAdapter, double inTokens, core::time_point inNow);
 
     /// Results of commands.
     void loadStarted(std::string_view inAdapter, core::time_point inNow);
@@ -63,11 +63,12 @@
 
     /// The endpoint reported its adapters as they were at inDescribed, which lags. Entries with a
     /// command under way or changed later than that are kept.
-    void reported(std::span<const std::string> inResident, std::span<const std::string> inLoading,
-                  core::time_point inDescribed, core::time_point inNow);
+    void adaptersReported(std::span<const std::string> inResident,
+                          std::span<const std::string> inLoading, core::time_point inDescribed,
+                          core::time_point inNow);
 
     /// The endpoint refused a run because the adapter is not resident.
-    void missing(std::string_view inAdapter, core::time_point inNow);
+    void adapterMissing(std::string_view inAdapter, core::time_point inNow);
 
     /// Forgets everything but popularity, before a first report.
     void clear();
@@ -100,7 +101,7 @@
         state current = state::resident;
         core::time_point since;
         /// This instance sent a command whose result is outstanding.
-        bool commanded = false;
+        bool commandPending = false;
         bool retiring = false;
     };
     struct history
@@ -108,7 +109,7 @@
         double popularity = 0;
         core::time_point updated;
         int failures = 0;
-        core::time_point notBefore;
+        core::time_point retryAt;
     };
 
     const adapter_demand *mostUrgentMissing(std::span<const adapter_demand> inDemand,
--- a/tests/unit/scheduling_adapter_slots_test.cpp
+++ b/tests/unit/scheduling_adapter_slots_test.cpp
@@ -23,7 +23,7 @@
     std::vector<adapter_demand> demand;
     double nextTag = 0;
 
-    void want(const std::string &inAdapter)
+    void addDemand(const std::string &inAdapter)
     {
         demand.push_back({.adapter = inAdapter,
                           .requests = 1,
@@ -66,8 +66,8 @@
 {
     slots_fixture fixture;
     CHECK(fixture.decide() == cNone);
-    fixture.want("x");
-    fixture.want("y");
+    fixture.addDemand("x");
+    fixture.addDemand("y");
     CHECK(fixture.decide() == load("x"));
     fixture.slots.loadStarted("x", fixture.now);
     CHECK(fixture.decide() == load("y"));
@@ -80,7 +80,7 @@
     slots_fixture fixture;
     fixture.load("x");
     fixture.load("y");
-    fixture.want("z");
+    fixture.addDemand("z");
     CHECK(fixture.decide() == cNone);
     fixture.now += 2s;
     fixture.inUse = {"x", "y"};
@@ -88,7 +88,7 @@
     fixture.inUse = {"x"};
     CHECK(fixture.decide() == unload("y"));
     // A request that the queue would start before the waiting one.
-    fixture.want("y");
+    fixture.addDemand("y");
     fixture.demand.back().startTag = -1;
     CHECK(fixture.decide() == cNone);
     fixture.demand.pop_back();
@@ -102,12 +102,12 @@
 TEST_CASE("the victim is the adapter with the lowest decayed popularity")
 {
     slots_fixture fixture;
-    fixture.slots.requested("x", 5000, fixture.now);
+    fixture.slots.adapterRequested("x", 5000, fixture.now);
     fixture.load("x");
     fixture.load("y");
     fixture.now += 300s;
-    fixture.slots.requested("y", 1000, fixture.now);
-    fixture.want("z");
+    fixture.slots.adapterRequested("y", 1000, fixture.now);
+    fixture.addDemand("z");
     CHECK(fixture.slots.popularity("x", fixture.now) == Approx(5000.0 / 32));
     CHECK(fixture.decide() == unload("x"));
 }
@@ -115,7 +115,7 @@
 TEST_CASE("a failed load is repeated after a back-off and does not hold up other adapters")
 {
     slots_fixture fixture;
-    fixture.want("bad");
+    fixture.addDemand("bad");
     core::duration previous{};
     for (int failure = 0; failure < 10; ++failure) {
         REQUIRE(fixture.decide() == load("bad"));
@@ -132,20 +132,20 @@
     CHECK(previous == 30s);
     fixture.slots.loadStarted("bad", fixture.now);
     fixture.slots.loadEnded("bad", false, fixture.now);
-    fixture.want("good");
+    fixture.addDemand("good");
     CHECK(fixture.decide() == load("good"));
 }
 
 TEST_CASE("an adapter that never falls idle is retired for requests that come first in the queue")
 {
     slots_fixture fixture;
-    fixture.slots.requested("x", 1000, fixture.now);
+    fixture.slots.adapterRequested("x", 1000, fixture.now);
     fixture.load("x");
     fixture.load("y");
     fixture.inUse = {"x", "y"};
-    fixture.want("x");
-    fixture.want("z");
-    fixture.want("y");
+    fixture.addDemand("x");
+    fixture.addDemand("z");
+    fixture.addDemand("y");
     fixture.now += 900ms;
     CHECK(fixture.decide() == cNone);
     CHECK_FALSE(fixture.slots.isRetiring("y"));
@@ -166,9 +166,9 @@
     fixture.load("x");
     fixture.load("y");
     fixture.inUse = {"x", "y"};
-    fixture.want("x");
-    fixture.want("y");
-    fixture.want("z");
+    fixture.addDemand("x");
+    fixture.addDemand("y");
+    fixture.addDemand("z");
     fixture.now += 10s;
     CHECK(fixture.decide() == cNone);
     CHECK(fixture.slots.mayStart("x"));
@@ -185,18 +185,18 @@
 {
     slots_fixture fixture;
     const std::vector<std::string> old = {"x"};
-    fixture.slots.reported(old, {}, fixture.now, fixture.now);
+    fixture.slots.adaptersReported(old, {}, fixture.now, fixture.now);
     CHECK(fixture.slots.stateOf("x") == adapter_slots::state::resident);
     const core::time_point before = fixture.now;
     fixture.now += 5s;
     fixture.slots.unloadStarted("x");
     fixture.slots.unloadEnded("x", true, fixture.now);
     fixture.load("y");
-    fixture.slots.reported(old, {}, before + 1s, fixture.now);
+    fixture.slots.adaptersReported(old, {}, before + 1s, fixture.now);
     CHECK(fixture.slots.stateOf("x") == adapter_slots::state::absent);
     CHECK(fixture.slots.stateOf("y") == adapter_slots::state::resident);
     const std::vector<std::string> current = {"z"};
-    fixture.slots.reported(current, {}, fixture.now + 1s, fixture.now + 1s);
+    fixture.slots.adaptersReported(current, {}, fixture.now + 1s, fixture.now + 1s);
     CHECK(fixture.slots.stateOf("y") == adapter_slots::state::absent);
     CHECK(fixture.slots.stateOf("z") == adapter_slots::state::resident);
 }
@@ -205,11 +205,11 @@
 {
     slots_fixture fixture;
     const std::vector<std::string> names = {"x"};
-    fixture.slots.reported({}, names, fixture.now, fixture.now);
+    fixture.slots.adaptersReported({}, names, fixture.now, fixture.now);
     CHECK(fixture.slots.stateOf("x") == adapter_slots::state::loading);
     CHECK_FALSE(fixture.slots.mayStart("x"));
-    fixture.slots.reported(names, {}, fixture.now + 1s, fixture.now + 1s);
+    fixture.slots.adaptersReported(names, {}, fixture.now + 1s, fixture.now + 1s);
     CHECK(fixture.slots.mayStart("x"));
-    fixture.slots.missing("x", fixture.now + 2s);
+    fixture.slots.adapterMissing("x", fixture.now + 2s);
     CHECK(fixture.slots.stateOf("x") == adapter_slots::state::absent);
 }
--- a/tests/unit/scheduling_simulation_test.cpp
+++ b/tests/unit/scheduling_simulation_test.cpp
@@ -198,7 +198,7 @@
 
     void push(queued_request inRequest, core::time_point inNow)
     {
-        mSlots.requested(inRequest.adapter, inRequest.tokens, inNow);
+        mSlots.adapterRequested(inRequest.adapter, inRequest.tokens, inNow);
         const bool isQueued = mQueue.push(std::move(inRequest), inNow);
         REQUIRE(isQueued);
     }
