--- a/corneltally/scheduling/adapter_demand.h
+++ b/corneltally/scheduling/adapter_demand.h
@@ -6,21 +6,21 @@
 
 namespace corneltally::scheduling {
 
-/// Requests that wait at an endpoint for one adapter version.
+/// Summary of the requests queued at an endpoint for one adapter version.
 struct adapter_demand
 {
     std::string adapter;
     int requests = 0;
     double tokens = 0;
     core::time_point oldest;
-    /// Place of the first of the requests in the order of the queue, as if all adapters were
-    /// resident: prompt before patient, then by start tag.
+    /// Class and start tag of the request that the queue would start first if all adapters were
+    /// resident. Prompt class goes before patient class, then the lower start tag.
     bool prompt = false;
     double startTag = 0;
-    /// Waiting tokens weighted by class and age; the order in which adapters are loaded.
+    /// Queued tokens weighted by class and age. Adapters are loaded in descending order of it.
     double urgency = 0;
 
-    /// Whether the queue would start a request of this demand before any of the other one.
+    /// True if the queue would start a request of this demand before any of the other demand.
     bool precedes(const adapter_demand &inOther) const
     {
         return prompt != inOther.prompt ? prompt : startTag < inOther.startTag;
--- a/corneltally/scheduling/adapter_slots.cpp
+++ b/corneltally/scheduling/adapter_slots.cpp
@@ -7,6 +7,7 @@
 
 namespace {
 
+/// History entries with a lower popularity, in tokens, are dropped by prune().
 constexpr double cMinimumPopularity = 1;
 
 } // namespace
@@ -89,7 +90,7 @@
         const auto [entry, isNew]
             = mResident.try_emplace(inName, resident_state{inState, inNow, false, false});
         resident_state &current = entry->second;
-        // A load that another owner had started has ended.
+        // A load that an earlier owner started has completed.
         if (!isNew && !current.commandPending && current.current == state::loading
             && inState == state::resident)
             current = resident_state{inState, inNow, false, false};
@@ -159,7 +160,7 @@
     const std::string *victim = nullptr;
     double least = 0;
     for (const auto &[name, entry] : mResident) {
-        // One unload at a time is enough: the load that needs it comes next.
+        // Only one unload at a time: the next load uses the slot that it frees.
         if (entry.current == state::unloading)
             return {};
         if (entry.current != state::resident || inNow - entry.since < mOptions.minimumStay
@@ -222,7 +223,7 @@
     const adapter_demand *chosenDemand = nullptr;
     double lowest = 0;
     for (auto &[name, entry] : mResident) {
-        // One at a time: the next one is retired only if requests still wait then.
+        // Only one adapter at a time: the next is retired only if requests still wait after that.
         if (entry.retiring)
             return;
         if (entry.current != state::resident || inNow - entry.since < mOptions.minimumStay)
@@ -232,7 +233,8 @@
         if (demand != nullptr && !inWaiting.precedes(*demand))
             continue;
         const double value = popularity(name, inNow);
-        // Adapters without demand first, the least popular of them; then the latest in the queue.
+        // Prefers the least popular adapter without demand, then the one that the queue would
+        // serve last.
         const bool isBetter = chosen == nullptr
             || (demand == nullptr && (chosenDemand != nullptr || value < lowest))
             || (demand != nullptr && chosenDemand != nullptr && chosenDemand->precedes(*demand));
--- a/corneltally/scheduling/adapter_slots.h
+++ b/corneltally/scheduling/adapter_slots.h
@@ -13,36 +13,37 @@
 
 namespace corneltally::scheduling {
 
-/// Constants of load and unload decisions.
+/// Options of adapter_slots for load and unload decisions.
 struct slot_options
 {
     /// Adapters that can be resident at the same time.
     int slots = 4;
-    /// An adapter stays at least this long, which bounds loads under shifting demand.
+    /// Minimum time that an adapter stays resident. Limits the load rate when demand shifts.
     core::duration minimumStay = std::chrono::milliseconds(250);
+    /// Half-life of the popularity of an adapter.
     core::duration popularityHalfLife = std::chrono::seconds(60);
-    /// Wait after a failed load, doubled with each further failure of the same adapter.
+    /// Delay before a failed load is retried, doubled with each further failure of the adapter.
     core::duration firstBackoff = std::chrono::milliseconds(500);
     core::duration maxBackoff = std::chrono::seconds(30);
-    /// Waiting requests protect a resident adapter, but once a request has waited this long for a
-    /// slot, only those that come before it in the order of the queue do. Without this bound, an
-    /// adapter with a steady queue keeps its slot for ever.
+    /// Queued requests protect their resident adapter from being unloaded. Once a request has
+    /// waited this long for a slot, only requests ahead of it in queue order protect theirs.
+    /// Without this limit, an adapter with a steady queue would never be unloaded.
     core::duration retireAfter = std::chrono::seconds(1);
 };
 
-/// Load or unload command that should be sent to an endpoint.
+/// Next load or unload command to send to an endpoint.
 struct slot_decision
 {
     enum class action { none, load, unload };
     action kind = action::none;
     std::string adapter;
-    /// The adapter that needs the slot: the one to load now or after the unload.
+    /// Adapter that needs the slot, to be loaded now or after the unload.
     std::string adapterToLoad;
 
     friend auto operator<=>(const slot_decision &, const slot_decision &) = default;
 };
 
-/// Which adapters are resident on an endpoint, and which to load and unload.
+/// Tracks the adapters that are resident on an endpoint and decides which to load and unload.
 class adapter_slots
 {
 public:
@@ -52,47 +53,49 @@
 
     void configure(slot_options inOptions) { mOptions = inOptions; }
 
-    /// A request for an adapter arrived.
+    /// Records a new request for an adapter, which raises its popularity.
     void adapterRequested(std::string_view inAdapter, double inTokens, core::time_point inNow);
 
-    /// Results of commands.
+    /// Record the start and the result of load and unload commands.
     void loadStarted(std::string_view inAdapter, core::time_point inNow);
     void loadEnded(std::string_view inAdapter, bool inLoaded, core::time_point inNow);
     void unloadStarted(std::string_view inAdapter);
     void unloadEnded(std::string_view inAdapter, bool inUnloaded, core::time_point inNow);
 
-    /// The endpoint reported its adapters as they were at inDescribed, which lags. Entries with a
-    /// command under way or changed later than that are kept.
+    /// Applies a report of the endpoint that describes its adapters at inDescribed, some time
+    /// before now. Entries with a command in flight or changed after inDescribed are kept.
     void adaptersReported(std::span<const std::string> inResident,
                           std::span<const std::string> inLoading, core::time_point inDescribed,
                           core::time_point inNow);
 
-    /// The endpoint refused a run because the adapter is not resident.
+    /// Handles a run that the endpoint refused because the adapter is not resident.
     void adapterMissing(std::string_view inAdapter, core::time_point inNow);
 
-    /// Forgets everything but popularity, before a first report.
+    /// Clears all adapter states before the first report of an endpoint; load history is kept.
     void clear();
 
     state stateOf(std::string_view inAdapter) const;
     std::vector<std::string> adaptersIn(state inState) const;
     std::size_t occupied() const { return mResident.size(); }
 
-    /// Whether a request may start: its adapter is resident and not being retired.
+    /// True if the adapter is resident and not being retired, so that its requests may start.
     bool mayStart(std::string_view inAdapter) const;
 
-    /// Whether the waiting requests of a resident adapter wait for its next load.
+    /// True if a resident adapter starts no more requests, so that it can be unloaded when its
+    /// runs have ended. Its queued requests wait until it is loaded again.
     bool isRetiring(std::string_view inAdapter) const;
 
-    /// Next command. inDemand are the waiting requests, the most urgent first; inInUse tells
-    /// whether an adapter has a run or might have one. At most one load or unload is proposed.
+    /// Returns the next command, at most one load or unload. inDemand summarizes the queued
+    /// requests by adapter, most urgent first. inInUse returns true for an adapter that has or
+    /// might have a run.
     slot_decision decide(std::span<const adapter_demand> inDemand,
                          const std::function<bool(const std::string &)> &inInUse,
                          core::time_point inNow);
 
-    /// Decayed tokens requested.
+    /// Requested tokens of an adapter, decayed over time.
     double popularity(std::string_view inAdapter, core::time_point inNow) const;
 
-    /// Drops popularity and failures of adapters that were not requested for long.
+    /// Drops the history of adapters whose popularity has decayed and that are not in back-off.
     void prune(core::time_point inNow);
 
 private:
@@ -100,7 +103,7 @@
     {
         state current = state::resident;
         core::time_point since;
-        /// This instance sent a command whose result is outstanding.
+        /// A command of this instance is in flight.
         bool commandPending = false;
         bool retiring = false;
     };
@@ -120,7 +123,7 @@
 
     slot_options mOptions;
     std::map<std::string, resident_state, std::less<>> mResident;
-    /// Adapters that went away after the moment that the last report described.
+    /// Adapters removed since the moment that the last report describes, with the time of removal.
     std::map<std::string, core::time_point, std::less<>> mRemoved;
     std::unordered_map<std::string, history> mHistory;
 };
--- a/corneltally/scheduling/endpoint_health.cpp
+++ b/corneltally/scheduling/endpoint_health.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// A failing endpoint that is not being probed keeps some traffic, from which it can recover.
+/// A failing endpoint keeps at least this weight while requests may be sent to it: its error rate
+/// falls only through requests that succeed.
 constexpr double cMinimumWeight = 0.05;
 
 } // namespace
@@ -53,7 +54,7 @@
     ++mConsecutiveFailures;
     if (mConsecutiveFailures < mOptions.failureLimit && !mAllowance)
         return;
-    // Requests that were already in flight fail together and count as one step of the back-off.
+    // Requests that were already in flight fail together and raise the back-off only once.
     if (mAllowance && inNow < mNextProbe)
         return;
     mAllowance = 1;
--- a/corneltally/scheduling/endpoint_health.h
+++ b/corneltally/scheduling/endpoint_health.h
@@ -6,41 +6,42 @@
 
 namespace corneltally::scheduling {
 
-/// Constants of the health estimate.
+/// Options of endpoint_health.
 struct health_options
 {
-    /// Consecutive failures after which an endpoint gets probes only.
+    /// Consecutive failures after which an endpoint only gets probe requests.
     int failureLimit = 3;
     core::duration firstBackoff = std::chrono::milliseconds(250);
     core::duration maxBackoff = std::chrono::seconds(8);
-    /// Weight of a new sample in the averages.
+    /// Weight of a new sample in the moving averages.
     double smoothing = 0.1;
-    /// Allowance from which an endpoint counts as fully recovered.
+    /// Number of allowed requests in flight at which an endpoint counts as recovered.
     int fullAllowance = 64;
 };
 
-/// Health of an endpoint, derived from the outcomes of its requests.
+/// Estimates the health of an endpoint from the outcomes of its requests.
 class endpoint_health
 {
 public:
     explicit endpoint_health(health_options inOptions = {});
 
-    /// Whether a request may be sent now. While the endpoint is being probed, one at a time.
+    /// True if a request may be sent now. While the endpoint is being probed, the requests in
+    /// flight are limited: to one at first, then to twice as many after each success.
     bool mayStart(core::time_point inNow) const;
 
-    /// A request was sent; one of ended() or abandoned() follows.
+    /// Records a sent request; succeeded(), failed() or abandoned() must follow.
     void started();
 
-    /// A request succeeded after a time, or failed.
+    /// Record the outcome of a request.
     void succeeded(core::duration inLatency, core::time_point inNow);
     void failed(core::time_point inNow);
 
-    /// A request ended without telling anything about the endpoint, for example because its caller
-    /// left.
+    /// Records a request that ended without an outcome, for example because its caller
+    /// disconnected.
     void abandoned();
 
-    /// Share of requests for this endpoint, from 0 (none now) to 1 (healthy). An endpoint that is
-    /// more than twice as slow as the typical one, if that is given, gets less.
+    /// Weight of the endpoint in the choice of a route, from 0 (no requests now) to 1 (healthy). If
+    /// inTypicalLatency is given, an endpoint with more than twice that latency gets less.
     double weight(core::time_point inNow, core::duration inTypicalLatency = {}) const;
 
     bool isProbing() const { return mAllowance.has_value(); }
@@ -57,7 +58,7 @@
     core::duration mLatency{};
     int mConsecutiveFailures = 0;
     int mInFlight = 0;
-    /// Requests that may be in flight while the endpoint recovers; unlimited without a value.
+    /// Requests that may be in flight while the endpoint recovers; no value means unlimited.
     std::optional<int> mAllowance;
     core::duration mBackoff{};
     core::time_point mNextProbe;
--- a/corneltally/scheduling/endpoint_queue.cpp
+++ b/corneltally/scheduling/endpoint_queue.cpp
@@ -8,15 +8,16 @@
 
 namespace {
 
-/// An account whose requests could not start (adapter not resident) catches up at most this many
-/// quanta, so that it cannot shut out the others afterwards.
+/// Number of quanta that an account may catch up after its requests could not start because their
+/// adapter was not resident. Without a limit it would block all other accounts meanwhile.
 constexpr double cMaxCatchUpQuanta = 4;
 
-/// Demand of one account for one adapter counts at most this many tokens, so that an account that
-/// sends several times its rate does not get all loads.
+/// Limit, in weighted tokens, of what one account adds to the urgency of one adapter. Keeps an
+/// account that sends several times its rate from getting all loads.
 constexpr double cMaxDemandTokens = 8'000;
 
-/// A waiting prompt token counts as several patient ones when loads are ordered.
+/// Weight of a queued token of the prompt class in the urgency of an adapter; a token of the
+/// patient class counts 1.
 constexpr double cPromptFactor = 4;
 
 } // namespace
@@ -227,7 +228,7 @@
 
 endpoint_queue::position endpoint_queue::choose(const std::vector<position> &inPositions)
 {
-    // Positions are in order of arrival, so that a strict comparison keeps the earlier request.
+    // Positions are in order of arrival: the strict comparison keeps the earlier of equal requests.
     position first = inPositions.front();
     for (const position index : inPositions) {
         if (startTag(mWaiting[index].request) < startTag(mWaiting[first].request))
--- a/corneltally/scheduling/endpoint_queue.h
+++ b/corneltally/scheduling/endpoint_queue.h
@@ -14,23 +14,26 @@
 
 namespace corneltally::scheduling {
 
-/// Limits of the queue of one endpoint.
+/// Options of endpoint_queue.
 struct queue_options
 {
     /// Requests that run at the same time.
     int runSlots = 8;
     std::size_t maxQueued = 256;
-    /// A patient request that waited this long competes as prompt.
+    /// Wait after which a patient request is treated as prompt class.
     core::duration patientMaxWait = std::chrono::seconds(20);
-    /// Virtual time that an account may be ahead and still be preferred for its running adapter.
+    /// Virtual time by which an account may be ahead of the next one in order and still be
+    /// preferred because its adapter has runs already.
     double quantumTokens = 2'000;
-    /// After a prompt request arrived, a quarter of the slots is kept free of patient requests for
-    /// this long: a review holds its slot for many times the wait that a quote tolerates.
+    /// For this long after the arrival of a prompt request, a quarter of the run slots is reserved
+    /// for the prompt class: a review (patient class) occupies its slot for many times the wait
+    /// that a quote (prompt class) tolerates.
     core::duration promptReserve = std::chrono::seconds(5);
 };
 
-/// Waiting and running requests of an endpoint: start-time fair queueing over client accounts in
-/// tokens, prompt before patient within bounds. A request that is not eligible blocks no other.
+/// Queue and running requests of an endpoint. Start-time fair queueing shares the tokens among
+/// client accounts. The prompt class goes before the patient class within limits that keep the
+/// patient class from starving. A request that is not eligible does not block others.
 class endpoint_queue
 {
 public:
@@ -38,28 +41,28 @@
 
     explicit endpoint_queue(queue_options inOptions = {});
 
-    /// Replaces the limits; requests that already wait are kept.
+    /// Replaces the options; queued requests are kept.
     void configure(queue_options inOptions);
 
-    /// Queues a request; false if the queue is full.
+    /// Queues a request. Returns false if the queue is full.
     bool push(queued_request inRequest, core::time_point inNow);
 
-    /// Takes a waiting request out, for example because its caller left.
+    /// Removes a queued request, for example because its caller disconnected.
     std::optional<queued_request> remove(std::string_view inRequestId);
 
-    /// Takes out all requests whose deadline has passed.
+    /// Removes and returns all queued requests whose deadline has passed.
     std::vector<queued_request> takeExpired(core::time_point inNow);
 
-    /// Takes out all requests.
+    /// Removes and returns all queued requests.
     std::vector<queued_request> takeAll();
 
-    /// Starts the next eligible request, if a slot is free, and counts it as running.
+    /// Removes the next eligible request and counts it as running, if a run slot is free.
     std::optional<queued_request> pop(const eligibility &inEligible, core::time_point inNow);
 
-    /// Counts a request as running that did not wait, such as a resumed stream.
+    /// Counts a request as running without queueing it, for example a resumed stream.
     void startDirectly(queued_request inRequest, core::time_point inNow);
 
-    /// A running request ended. The account gets back what it reserved and did not use.
+    /// Ends a running request. Reserved tokens that it did not use are credited to its account.
     void ended(std::string_view inRequestId, double inUsedTokens);
 
     std::size_t queuedCount() const { return mWaiting.size(); }
@@ -70,13 +73,13 @@
     int queuedOf(std::string_view inAdapter) const;
     const queue_options &options() const { return mOptions; }
 
-    /// Waiting requests by adapter, the most urgent first.
+    /// Queued requests summarized by adapter, most urgent first.
     std::vector<adapter_demand> demand(core::time_point inNow) const;
 
 private:
     struct account_state
     {
-        /// Start tag of the account's next request, in tokens divided by weight.
+        /// Start tag of the next request of the account, in tokens divided by its weight.
         double virtualTime = 0;
         int queued = 0;
         int running = 0;
@@ -84,7 +87,8 @@
     struct waiting_request
     {
         queued_request request;
-        /// Tokens of later requests that were started first because their adapter was running.
+        /// Tokens of requests that were started before this one because their adapter had runs
+        /// already.
         double bypassedTokens = 0;
     };
     struct running_request
@@ -100,7 +104,7 @@
     bool competesAsPrompt(const queued_request &inRequest, core::time_point inNow) const;
     double startTag(const queued_request &inRequest) const;
     bool mayStartPatient(core::time_point inNow) const;
-    /// Positions of the class to serve next, in order of arrival.
+    /// Positions of the eligible requests of the class to serve next, in order of arrival.
     std::vector<position> nextCandidates(const eligibility &inEligible,
                                          core::time_point inNow) const;
     position choose(const std::vector<position> &inPositions);
@@ -109,7 +113,7 @@
     void eraseIdleAccount(const std::string &inAccount);
 
     queue_options mOptions;
-    /// In order of arrival; bounded by maxQueued, so that a scan is cheap.
+    /// In order of arrival. Limited to maxQueued entries, so that linear scans are cheap.
     std::vector<waiting_request> mWaiting;
     std::unordered_map<std::string, running_request> mRunning;
     std::map<std::string, int, std::less<>> mRunningByAdapter;
--- a/corneltally/scheduling/placement.cpp
+++ b/corneltally/scheduling/placement.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Below this demand an adapter without runs is forgotten.
+/// Adapters without runs whose demand is lower are dropped by prune().
 constexpr double cMinimumDemand = 0.05;
 
 } // namespace
@@ -33,7 +33,7 @@
     if (found == mAdapters.end())
         return 1;
     adapter_state &state = found->second;
-    // Growth follows the current number of runs at once, shrinking follows the average.
+    // The number of copies grows at once with the current runs and shrinks with their average.
     const double share = std::clamp(inShare, 0.001, 1.0);
     const double average = decayed(state, inNow) / share;
     const double current = std::max(average, state.running / share);
--- a/corneltally/scheduling/placement.h
+++ b/corneltally/scheduling/placement.h
@@ -9,35 +9,36 @@
 
 namespace corneltally::scheduling {
 
-/// Constants of the number of copies.
+/// Options of placement.
 struct placement_options
 {
-    /// Concurrent requests of an adapter that one copy serves.
+    /// Concurrent runs of an adapter that one copy serves.
     double copyDemand = 4;
     /// Half-life of the demand average.
     core::duration halfLife = std::chrono::seconds(10);
-    /// A copy is given up when the demand falls below the rest's capacity divided by this.
+    /// The last copy is dropped when the demand falls below the capacity of the remaining copies
+    /// divided by this factor.
     double hysteresis = 2;
 };
 
-/// Number of copies of each adapter that should be resident, from the demand seen by this instance.
+/// Determines how many copies of each adapter should be resident, from the runs of this instance.
 class placement
 {
 public:
     explicit placement(placement_options inOptions = {});
 
-    /// A run of an adapter was started or ended by this instance.
+    /// Record the start and the end of a run of this instance.
     void started(std::string_view inAdapter, core::time_point inNow);
     void ended(std::string_view inAdapter, core::time_point inNow);
 
-    /// Copies for the adapter; at least 1. inShare is the part of the fleet's requests that this
-    /// instance sees, for example 1 / number of live instances.
+    /// Returns the number of copies for an adapter, at least 1. inShare is the share of the fleet's
+    /// requests that this instance handles, for example 1 / number of live instances.
     int copies(std::string_view inAdapter, double inShare, core::time_point inNow);
 
-    /// Decayed number of concurrent runs on this instance.
+    /// Moving average of the concurrent runs of an adapter on this instance.
     double demand(std::string_view inAdapter, core::time_point inNow) const;
 
-    /// Forgets adapters without runs whose demand has decayed; call every few seconds.
+    /// Drops adapters without runs whose demand has decayed. To be called every few seconds.
     void prune(core::time_point inNow);
 
     std::size_t adapterCount() const { return mAdapters.size(); }
--- a/corneltally/scheduling/queued_request.h
+++ b/corneltally/scheduling/queued_request.h
@@ -8,20 +8,21 @@
 
 namespace corneltally::scheduling {
 
-/// What the queue of an endpoint needs to know about a request.
+/// Request as the queue of an endpoint sees it.
 struct queued_request
 {
     std::string requestId;
     std::string account;
-    /// Share of the endpoint relative to other client accounts.
+    /// Weight of the client account: its share of the endpoint relative to other accounts.
     double weight = 1;
     /// Adapter and version as one name, for example "quotes@7".
     std::string adapter;
-    /// Prompt tokens and reserved output.
+    /// Prompt tokens plus reserved output tokens.
     double tokens = 0;
+    /// Prompt class if true, patient class if false.
     bool prompt = true;
     core::time_point deadline;
-    /// Set by the queue.
+    /// arrived and sequence are set by the queue.
     core::time_point arrived;
     std::uint64_t sequence = 0;
 
--- a/corneltally/scheduling/route_choice.cpp
+++ b/corneltally/scheduling/route_choice.cpp
@@ -13,7 +13,7 @@
     return inOption.ownerReachable && inOption.accepting && inOption.healthWeight > 0;
 }
 
-/// Draws numbers from one random seed (SplitMix64).
+/// Pseudo-random numbers from one seed (SplitMix64).
 class draw_sequence
 {
 public:
@@ -21,7 +21,7 @@
         : mState(inSeed)
     { }
 
-    /// Uniform in [0, 1).
+    /// Returns a number uniformly distributed in [0, 1).
     double next()
     {
         mState += 0x9e3779b97f4a7c15U;
@@ -36,7 +36,8 @@
     std::uint64_t mState;
 };
 
-/// Moves one entry, drawn in proportion to its weight, to the front of a range.
+/// Draws one entry of a range with a probability proportional to its weight and swaps it to the
+/// front.
 template <typename Iterator>
 void drawToFront(Iterator inFirst, Iterator inLast, draw_sequence &ioDraws)
 {
@@ -53,8 +54,8 @@
     }
 }
 
-/// The cheaper one of two drawn entries: choosing the cheapest of all would send all instances to
-/// the same endpoint until its next report.
+/// Draws two entries and returns the cheaper one (power of two choices). With the cheapest of all,
+/// all instances would choose the same endpoint until its next report.
 template <typename Iterator>
 Iterator chooseOfTwo(Iterator inFirst, Iterator inLast, draw_sequence &ioDraws)
 {
@@ -96,7 +97,7 @@
 
 core::duration route_choice::cost(const route_option &inOption) const
 {
-    // Runs that the report does not contain wait as long as those that it contains.
+    // Runs dispatched since the report are estimated like the queued runs of the report.
     const core::duration perRun
         = std::max(mSettings.dispatchedCost, inOption.estimatedWait / std::max(1, inOption.queued));
     core::duration total = inOption.estimatedWait + perRun * inOption.dispatchedSinceReport
@@ -143,7 +144,7 @@
     const std::size_t missing = std::min(copies - found.size(), homes.size());
     for (std::size_t position = 0; position < missing; ++position)
         add(homes[position].index, {});
-    // A cold adapter whose home is overloaded may be loaded at the next home.
+    // If the rendezvous homes are overloaded, the adapter may be loaded at the next one.
     if (homes.size() > missing)
         add(homes[missing].index, mSettings.loadPenalty);
     return found;
