--- a/tests/unit/scheduling_adapter_slots_test.cpp
+++ b/tests/unit/scheduling_adapter_slots_test.cpp
@@ -1,5 +1,5 @@
-// Guards against unloading an adapter that is in use or wanted, load thrashing, load storms after
-// failures, and reports that lag behind commands.
+// Guards against unloading an adapter that has runs or queued requests, against thrashing, against
+// repeated loads without back-off after failures, and against reports that are older than commands.
 
 #include "corneltally/scheduling/adapter_slots.h"
 
@@ -87,7 +87,7 @@
     CHECK(fixture.decide() == cNone);
     fixture.inUse = {"x"};
     CHECK(fixture.decide() == unload("y"));
-    // A request that the queue would start before the waiting one.
+    // The queue would start this request before the one that waits for a slot.
     fixture.addDemand("y");
     fixture.demand.back().startTag = -1;
     CHECK(fixture.decide() == cNone);
@@ -136,7 +136,7 @@
     CHECK(fixture.decide() == load("good"));
 }
 
-TEST_CASE("an adapter that never falls idle is retired for requests that come first in the queue")
+TEST_CASE("an adapter that is always in use is retired for requests ahead in the queue")
 {
     slots_fixture fixture;
     fixture.slots.adapterRequested("x", 1000, fixture.now);
@@ -154,13 +154,13 @@
     CHECK(fixture.slots.isRetiring("y"));
     CHECK_FALSE(fixture.slots.isRetiring("x"));
     CHECK_FALSE(fixture.slots.mayStart("y"));
-    // Its runs end before it is unloaded.
+    // A retiring adapter is unloaded only after its runs have ended.
     CHECK(fixture.decide() == cNone);
     fixture.inUse = {"x"};
     CHECK(fixture.decide() == unload("y"));
 }
 
-TEST_CASE("no adapter is retired for requests that come later, and retirement ends with its cause")
+TEST_CASE("no adapter is retired for later requests; retirement ends with the waiting request")
 {
     slots_fixture fixture;
     fixture.load("x");
@@ -181,7 +181,7 @@
     CHECK(fixture.slots.mayStart("y"));
 }
 
-TEST_CASE("a report that describes a moment before a command does not undo the command")
+TEST_CASE("a report of the state before a command does not undo the command")
 {
     slots_fixture fixture;
     const std::vector<std::string> old = {"x"};
--- a/tests/unit/scheduling_endpoint_health_test.cpp
+++ b/tests/unit/scheduling_endpoint_health_test.cpp
@@ -1,4 +1,4 @@
-// Guards against traffic that keeps going to a failing endpoint, or returns to it all at once.
+// Guards against sending full traffic to a failing endpoint, or to a recovering one all at once.
 
 #include "corneltally/scheduling/endpoint_health.h"
 
@@ -31,7 +31,7 @@
     }
 }
 
-TEST_CASE("a recovering endpoint doubles its allowance up to full traffic")
+TEST_CASE("each success doubles the allowance of a recovering endpoint up to full traffic")
 {
     endpoint_health health;
     core::time_point now(1000s);
@@ -56,7 +56,7 @@
     CHECK(health.weight(now) > 0.5);
 }
 
-TEST_CASE("requests that fail together count as one step of the back-off")
+TEST_CASE("requests that fail together raise the back-off only once")
 {
     endpoint_health health;
     const core::time_point now(1000s);
--- a/tests/unit/scheduling_endpoint_queue_test.cpp
+++ b/tests/unit/scheduling_endpoint_queue_test.cpp
@@ -1,6 +1,6 @@
-// Guards against an account that takes more than its share of an endpoint, prompt requests that
-// wait behind reviews, reviews that never start, and requests that block others while their adapter
-// is not resident.
+// Guards against an account that gets more than its share of an endpoint, prompt requests that wait
+// behind patient ones, patient requests that never start, and requests that block others while
+// their adapter is not resident.
 
 #include "corneltally/scheduling/endpoint_queue.h"
 
@@ -51,7 +51,7 @@
 
 } // namespace
 
-TEST_CASE("accounts get tokens in proportion to their weights, however much one sends")
+TEST_CASE("accounts get tokens in proportion to their weights, regardless of what they send")
 {
     queue_fixture fixture({.runSlots = 1, .quantumTokens = 0});
     for (int round = 0; round < 150; ++round)
@@ -71,7 +71,7 @@
     CHECK(served["greedy"] / served["small"] == Approx(1).margin(0.25));
 }
 
-TEST_CASE("an account that was idle gets no credit for the past")
+TEST_CASE("an account gets no credit for idle time")
 {
     queue_fixture fixture({.runSlots = 1, .quantumTokens = 0});
     for (int round = 0; round < 100; ++round) {
@@ -91,7 +91,7 @@
     CHECK(idle <= 3);
 }
 
-TEST_CASE("reserved tokens that were not generated are given back to the account")
+TEST_CASE("reserved tokens that were not generated are credited to the account")
 {
     queue_fixture fixture({.runSlots = 1, .quantumTokens = 0});
     for (int round = 0; round < 20; ++round) {
@@ -121,7 +121,7 @@
     CHECK_FALSE(fixture.pop().has_value());
 }
 
-TEST_CASE("with fewer than four slots a patient request waits for prompt ones, within a bound")
+TEST_CASE("with fewer than four slots a patient request waits for prompt ones up to a limit")
 {
     queue_fixture fixture({.runSlots = 2, .patientMaxWait = 20s});
     const std::string patient = fixture.add("a", 100, false);
@@ -138,7 +138,7 @@
     CHECK(fixture.pop()->requestId == patient);
 }
 
-TEST_CASE("patient requests leave a slot for the next prompt one, unless none came for long")
+TEST_CASE("patient requests leave a slot free until no prompt request arrives for promptReserve")
 {
     queue_fixture fixture({.runSlots = 4, .promptReserve = 5s});
     fixture.add("a");
@@ -155,7 +155,7 @@
     CHECK(fixture.pop().has_value());
 }
 
-TEST_CASE("a request whose adapter is not resident blocks no other request")
+TEST_CASE("a request whose adapter is not resident does not block others")
 {
     queue_fixture fixture({.runSlots = 4});
     const std::string blocked = fixture.add("a", 100, true, "cold@1");
@@ -186,7 +186,7 @@
     CHECK(before <= 5);
 }
 
-TEST_CASE("requests of one account for another adapter are passed over for one quantum at most")
+TEST_CASE("requests of one account for another adapter are bypassed for at most one quantum")
 {
     queue_fixture fixture({.runSlots = 100, .quantumTokens = 500});
     fixture.add("a", 100, true, "running@1");
@@ -200,7 +200,7 @@
     CHECK(before == 5);
 }
 
-TEST_CASE("an account that could not start catches up by a bounded amount")
+TEST_CASE("an account whose requests could not start catches up by a limited amount")
 {
     queue_fixture fixture({.runSlots = 1, .quantumTokens = 100});
     for (int round = 0; round < 100; ++round)
--- a/tests/unit/scheduling_route_choice_test.cpp
+++ b/tests/unit/scheduling_route_choice_test.cpp
@@ -1,5 +1,5 @@
-// Guards against routing that loads needless copies, leaves its failure domain without reason, or
-// sends all runs to one endpoint between two reports.
+// Guards against needless loads of further copies, needless routes to other failure domains, and
+// sending all runs to one endpoint between two reports.
 
 #include "corneltally/scheduling/placement.h"
 #include "corneltally/scheduling/route_choice.h"
@@ -74,7 +74,7 @@
     }
 }
 
-TEST_CASE("an adapter without copies has one home for all instances, adapters have different ones")
+TEST_CASE("an absent adapter has the same home on all instances; homes differ between adapters")
 {
     const std::vector<route_option> options = fleet(6);
     std::vector<int> homes(6);
@@ -88,7 +88,7 @@
     CHECK(*std::ranges::max_element(homes) < 140);
 }
 
-TEST_CASE("the home of an adapter moves only if that home is not usable")
+TEST_CASE("the home of an adapter changes only if it becomes unusable")
 {
     std::vector<route_option> options = fleet(6);
     const std::vector<int> before = chooseOften(options, 1);
@@ -104,7 +104,7 @@
     }
 }
 
-TEST_CASE("a second copy is used only if the demand asks for it and the first one is waiting")
+TEST_CASE("a second copy is used only if inCopies allows it and the first one has a long wait")
 {
     std::vector<route_option> options = fleet(6);
     options[0].resident = true;
@@ -115,7 +115,7 @@
     CHECK(chooseOften(options, 2)[0] < 600);
 }
 
-TEST_CASE("a cold adapter leaves an overloaded home for the next one")
+TEST_CASE("an absent adapter is loaded at the next home if the first one is overloaded")
 {
     std::vector<route_option> options = fleet(6);
     const std::vector<int> before = chooseOften(options, 1);
@@ -126,7 +126,7 @@
     CHECK(usedCount(after) == 1);
 }
 
-TEST_CASE("the own failure domain comes first until its wait is 5 ms longer")
+TEST_CASE("the own failure domain is preferred until its wait is 5 ms longer")
 {
     std::vector<route_option> options = fleet(2);
     options[0].resident = options[1].resident = true;
@@ -142,7 +142,7 @@
     std::vector<route_option> options = fleet(4);
     for (route_option &option : options)
         option.resident = true;
-    // One report is stale and looks idle; the others wait 10 ms.
+    // A stale report shows the first endpoint as idle; the others have a wait of 10 ms.
     for (std::size_t index = 1; index < options.size(); ++index)
         options[index].estimatedWait = 10ms;
     const scheduling::route_choice choice;
@@ -167,11 +167,11 @@
         option.estimatedWait = 10ms;
     }
     options[2].estimatedWait = 0ms;
-    // Power of two choices: the idle one is drawn in a third of the rounds.
+    // Power of two choices: the idle endpoint is among the two drawn in a third of the rounds.
     CHECK(chooseOften(options, 6)[2] < 400);
 }
 
-TEST_CASE("an endpoint of low weight gets few runs")
+TEST_CASE("an endpoint with a low health weight gets few runs")
 {
     std::vector<route_option> options = fleet(2);
     options[0].resident = options[1].resident = true;
@@ -180,7 +180,7 @@
     CHECK(chooseOften(options, 2)[0] < 150);
 }
 
-TEST_CASE("the number of copies grows with demand and shrinks late")
+TEST_CASE("the number of copies grows at once with demand and shrinks with a delay")
 {
     scheduling::placement placement({.copyDemand = 4, .halfLife = 10s});
     core::time_point now(1000s);
@@ -191,7 +191,7 @@
     now += 60s;
     for (int run = 0; run < 4; ++run)
         placement.ended("a", now);
-    // Five runs need two copies; three stay until the average is below four.
+    // Five runs need two copies. Three are kept until the average is below four.
     CHECK(placement.copies("a", 1, now) == 3);
     for (int run = 0; run < 5; ++run)
         placement.ended("a", now);
@@ -205,7 +205,7 @@
     CHECK(placement.adapterCount() == 0);
 }
 
-TEST_CASE("an instance that sees a quarter of the requests reaches the same number of copies")
+TEST_CASE("an instance that handles a quarter of the requests computes the same number of copies")
 {
     scheduling::placement placement({.copyDemand = 4});
     const core::time_point now(1000s);
--- a/tests/unit/scheduling_simulation_test.cpp
+++ b/tests/unit/scheduling_simulation_test.cpp
@@ -1,6 +1,7 @@
-// Measures the queue and the adapter slots of one endpoint on a virtual clock against
-// first-come-first-served with least-recently-used unloading. Guards against changes of the
-// scheduler that make quotes wait, starve an account or stall the endpoint on loads.
+// Compares the queue and the adapter slots of one endpoint, on a virtual clock, with a
+// first-come-first-served queue that unloads the least recently used adapter (FCFS + LRU). Guards
+// against scheduler changes that delay prompt requests, starve an account or leave run slots free
+// while requests wait for loads.
 
 #include "corneltally/scheduling/adapter_slots.h"
 #include "corneltally/scheduling/endpoint_queue.h"
@@ -25,7 +26,7 @@
 constexpr int cRunSlots = 8;
 constexpr int cAdapterSlots = 4;
 constexpr core::duration cLoadTime = 250ms;
-/// This endpoint's part of the weight store's rate.
+/// Interval of loads at this endpoint, from its share of the weight store's rate.
 constexpr core::duration cLoadInterval = 1s;
 
 struct arrival
@@ -39,7 +40,7 @@
 {
     /// Offered load of each account as a share of the endpoint's capacity.
     std::vector<double> loads;
-    /// Adapters with Zipf popularity.
+    /// Number of adapters; their popularity has a Zipf distribution with exponent skew.
     int adapters = 8;
     double skew = 2;
     core::duration length = 600s;
@@ -88,9 +89,9 @@
     double promptP95 = 0;
     double patientP95 = 0;
     double worstPromptP95 = 0;
-    /// Least share of its offered tokens that an account other than the first was served.
+    /// Minimum over all accounts but the first: served tokens as a share of the offered tokens.
     double leastServedShare = 1;
-    /// Seconds that slots were free while requests waited, as a share of all slot time.
+    /// Time that run slots were free while requests waited, as a share of all run slot time.
     double stalledShare = 0;
     int loads = 0;
 };
@@ -103,8 +104,8 @@
     return inValues[inValues.size() * 95 / 100];
 }
 
-/// First come, first served; the adapter that was used longest ago is unloaded. If inSkipsBlocked
-/// is set, requests behind one that waits for a load may start.
+/// Serves requests in order of arrival and unloads the least recently used adapter. If
+/// inSkipsBlocked is set, requests behind one that waits for a load may start.
 class fcfs_policy
 {
 public:
@@ -256,7 +257,7 @@
     bool operator>(const pending_event &inOther) const { return at > inOther.at; }
 };
 
-/// Runs a policy over arrivals; requests that still wait at inLength count with their wait so far.
+/// Runs a policy over arrivals. Requests still queued at inLength count with their wait so far.
 template <typename Policy>
 simulation_result simulate(Policy inPolicy, const std::vector<arrival> &inArrivals,
                            core::duration inLength)
@@ -389,8 +390,8 @@
     }
 }
 
-// Guards against paying for fairness with longer waits when loads are scarce. Listed in
-// KNOWN-RED.txt.
+// Guards against fairness that lengthens the waits of prompt requests when loads are scarce. Listed
+// in KNOWN-RED.txt.
 TEST_CASE("with more adapters than can be loaded prompt requests wait less than with LRU",
           "[.known-red]")
 {
