--- a/corneltally/engines/endpoint_choice.h
+++ b/corneltally/engines/endpoint_choice.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "corneltally/core/boot_clock.h"
-#include "corneltally/engines/endpoint_book.h"
+#include "corneltally/engines/endpoint_table.h"
 #include "corneltally/routing/request_terms.h"
 
 #include <cstdint>
--- a/corneltally/engines/endpoint_book.cpp
+++ b/corneltally/engines/endpoint_table.cpp
@@ -1,4 +1,4 @@
-#include "corneltally/engines/endpoint_book.h"
+#include "corneltally/engines/endpoint_table.h"
 
 #include "corneltally/core/digest.h"
 
--- a/corneltally/fleet/fleet_messages.h
+++ b/corneltally/fleet/fleet_messages.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "corneltally/engines/endpoint_book.h"
+#include "corneltally/engines/endpoint_table.h"
 #include "corneltally/limits/fleet_allowance.h"
 #include "corneltally/store/record.h"
 
--- a/corneltally/forwarding/forward_context.h
+++ b/corneltally/forwarding/forward_context.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "corneltally/core/boot_clock.h"
-#include "corneltally/engines/endpoint_book.h"
 #include "corneltally/engines/endpoint_choice.h"
+#include "corneltally/engines/endpoint_table.h"
 #include "corneltally/fleet/fleet_messages.h"
 #include "corneltally/http1/connection_pool.h"
 #include "corneltally/limits/fleet_allowance.h"
--- a/corneltally/orders/engine_keeper.cpp
+++ b/corneltally/orders/engine_controller.cpp
@@ -1,4 +1,4 @@
-#include "corneltally/orders/engine_keeper.h"
+#include "corneltally/orders/engine_controller.h"
 
 #include <algorithm>
 #include <utility>
--- a/corneltally/orders/engine_keeper.h
+++ b/corneltally/orders/engine_controller.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "corneltally/core/boot_clock.h"
-#include "corneltally/engines/endpoint_book.h"
+#include "corneltally/engines/endpoint_table.h"
 #include "corneltally/engines/engine_order.h"
 #include "corneltally/engines/engine_report.h"
 #include "corneltally/routing/service.h"
--- a/corneltally/orders/order_service.h
+++ b/corneltally/orders/order_service.h
@@ -6,7 +6,7 @@
 #include "corneltally/http1/fetcher.h"
 #include "corneltally/kernel/service.h"
 #include "corneltally/kernel/timer.h"
-#include "corneltally/orders/engine_keeper.h"
+#include "corneltally/orders/engine_controller.h"
 #include "corneltally/orders/order_messages.h"
 
 #include <map>
--- a/tests/unit/engines_endpoint_choice_test.cpp
+++ b/tests/unit/engines_endpoint_choice_test.cpp
@@ -1,8 +1,8 @@
 // Guards against requests that wait where they need not: behind a backlog, for a load that another
 // engine does not need, or at an endpoint that is leaving or was replaced.
 
-#include "corneltally/engines/endpoint_book.h"
 #include "corneltally/engines/endpoint_choice.h"
+#include "corneltally/engines/endpoint_table.h"
 
 #include <set>
 #include <string>
--- a/tests/unit/orders_engine_keeper_test.cpp
+++ b/tests/unit/orders_engine_keeper_test.cpp
@@ -1,7 +1,7 @@
 // Guards against orders that load more adapters than an engine holds, which makes it crash, and
 // against orders that stop an engine from taking others.
 
-#include "corneltally/orders/engine_keeper.h"
+#include "corneltally/orders/engine_controller.h"
 
 #include <optional>
 #include <string>
