--- a/corneltally/engines/endpoint_choice.cpp
+++ b/corneltally/engines/endpoint_choice.cpp
@@ -30,7 +30,7 @@
 
 /// Prompt tokens that the engine need not read, since it has read them for this adapter before.
 double keptTokens(const endpoint &inEndpoint, const work_request &inRequest,
-                  const choice_settings &inSettings, core::time_point inNow)
+                  const choice_options &inSettings, core::time_point inNow)
 {
     double tokens = 0;
     const std::vector<std::string> names = sharedPartNames(inRequest);
@@ -45,7 +45,7 @@
 
 double engineCost(const endpoint &inEndpoint, const endpoint_load &inLoad,
                   const work_request &inRequest, double inSlowness,
-                  const choice_settings &inSettings, core::time_point inNow)
+                  const choice_options &inSettings, core::time_point inNow)
 {
     const double toRead
         = inRequest.promptTokens - keptTokens(inEndpoint, inRequest, inSettings, inNow);
@@ -67,7 +67,7 @@
 /// What the pauses of an engine cost, beside the request's own wait: answers are late in which an
 /// event comes later than the route allows, and the reading of a prompt delays those beside it.
 double pauseCost(const endpoint &inEndpoint, const endpoint_load &inLoad,
-                 const work_request &inRequest, const choice_settings &inSettings)
+                 const work_request &inRequest, const choice_options &inSettings)
 {
     if (inRequest.targetPause <= core::duration::zero()
         || inEndpoint.readingPause <= inRequest.targetPause)
@@ -100,8 +100,8 @@
 };
 
 /// Adds the wait for the adapter. Returns false if the endpoint can't get it.
-bool addAdapterWait(candidate &ioCandidate, const endpoint_book &inBook, const std::string &inKey,
-                    const work_request &inRequest, const choice_settings &inSettings,
+bool addAdapterWait(candidate &ioCandidate, const endpoint_table &inBook, const std::string &inKey,
+                    const work_request &inRequest, const choice_options &inSettings,
                     core::time_point inNow)
 {
     const endpoint &target = *ioCandidate.target;
@@ -124,7 +124,7 @@
     if (!isWarm)
         ioCandidate.cost += inMs(inSettings.coldPenalty);
     // A request for an adapter that is asked for already waits no longer than that one.
-    const int open = inBook.openPlaces(target, inRequest.adapterPlaces, inNow)
+    const int open = inBook.openSlots(target, inRequest.adapterSlots, inNow)
         + (target.ownWaiting.contains(inKey) ? 1 : 0);
     if (open <= 0)
         ioCandidate.cost += inMs(inSettings.placeWait) * (1 - open);
@@ -144,9 +144,9 @@
     return names;
 }
 
-std::optional<endpoint_choice> chooseEndpoint(endpoint_book &ioBook, const work_request &inRequest,
+std::optional<endpoint_choice> chooseEndpoint(endpoint_table &ioBook, const work_request &inRequest,
                                               const std::string &inFailureDomain,
-                                              const choice_settings &inSettings,
+                                              const choice_options &inSettings,
                                               core::time_point inNow)
 {
     const bool needsModel = !inRequest.model.empty();
--- a/corneltally/engines/endpoint_choice.h
+++ b/corneltally/engines/endpoint_choice.h
@@ -13,7 +13,7 @@
 namespace corneltally::engines {
 
 /// Constants of the estimate of the time to the first event.
-struct choice_settings
+struct choice_options
 {
     /// Prompt tokens that an engine reads in a millisecond (deployment sheets: 38 to 41).
     double promptTokensPerMs = 40;
@@ -63,7 +63,7 @@
     /// Tokens that an engine of the service can hold; zero for plain services.
     double engineMemory = 0;
     int engineBatch = 0;
-    int adapterPlaces = 0;
+    int adapterSlots = 0;
     std::string model;
     std::string adapter;
     /// Oldest version of the adapter that may serve.
@@ -105,9 +105,9 @@
 
 /// Chooses the endpoint with the least estimated time to the first event; nothing if no endpoint
 /// can serve the request.
-std::optional<endpoint_choice> chooseEndpoint(endpoint_book &ioBook, const work_request &inRequest,
+std::optional<endpoint_choice> chooseEndpoint(endpoint_table &ioBook, const work_request &inRequest,
                                               const std::string &inFailureDomain,
-                                              const choice_settings &inSettings,
+                                              const choice_options &inSettings,
                                               core::time_point inNow);
 
 } // namespace corneltally::engines
--- a/corneltally/engines/endpoint_table.cpp
+++ b/corneltally/engines/endpoint_table.cpp
@@ -32,10 +32,10 @@
         if (!stays(adapter))
             ioEndpoint.warm.push_back(adapter);
     }
-    if (ioEndpoint.warm.size() > endpoint_book::sWarmAdapters)
+    if (ioEndpoint.warm.size() > endpoint_table::sWarmAdapters)
         ioEndpoint.warm.erase(ioEndpoint.warm.begin(),
                               ioEndpoint.warm.end()
-                                  - static_cast<std::ptrdiff_t>(endpoint_book::sWarmAdapters));
+                                  - static_cast<std::ptrdiff_t>(endpoint_table::sWarmAdapters));
 }
 
 } // namespace
@@ -61,7 +61,7 @@
     return std::ranges::find(models, inModel) != models.end();
 }
 
-bool endpoint_book::apply(const endpoint_entry &inEntry, core::time_point inNow)
+bool endpoint_table::apply(const endpoint_entry &inEntry, core::time_point inNow)
 {
     const auto [found, isNew] = mEndpoints.try_emplace(inEntry.id);
     endpoint &target = found->second;
@@ -77,7 +77,7 @@
     return restarted;
 }
 
-void endpoint_book::remove(std::string_view inId, bool inMayReturn, core::time_point inNow)
+void endpoint_table::remove(std::string_view inId, bool inMayReturn, core::time_point inNow)
 {
     endpoint *target = find(inId);
     if (target == nullptr || target->removed)
@@ -89,8 +89,8 @@
         target->removedAt -= sLapseGrace;
 }
 
-void endpoint_book::keepOnly(const std::vector<std::string> &inIds, bool inMayReturn,
-                             core::time_point inNow)
+void endpoint_table::keepOnly(const std::vector<std::string> &inIds, bool inMayReturn,
+                              core::time_point inNow)
 {
     for (const auto &[id, target] : mEndpoints) {
         if (std::ranges::find(inIds, id) == inIds.end())
@@ -98,10 +98,10 @@
     }
 }
 
-void endpoint_book::applyHolderReport(std::string_view inId, std::uint64_t inStartedMs,
-                                      const std::string &inHolder, bool inReady,
-                                      residency inAdapters, std::vector<std::string> inModels,
-                                      int inQueued, core::time_point inNow)
+void endpoint_table::applyHolderReport(std::string_view inId, std::uint64_t inStartedMs,
+                                       const std::string &inHolder, bool inReady,
+                                       residency inAdapters, std::vector<std::string> inModels,
+                                       int inQueued, core::time_point inNow)
 {
     endpoint *target = find(inId);
     if (target == nullptr || target->entry.startedMs != inStartedMs)
@@ -115,15 +115,15 @@
     target->models = std::move(inModels);
 }
 
-void endpoint_book::applyPeerLoads(const std::string &inInstance,
-                                   std::map<endpoint_digest, endpoint_load> inLoads,
-                                   std::set<adapter_digest> inRunning, core::time_point inNow)
+void endpoint_table::applyPeerLoads(const std::string &inInstance,
+                                    std::map<endpoint_digest, endpoint_load> inLoads,
+                                    std::set<adapter_digest> inRunning, core::time_point inNow)
 {
     mPeers.insert_or_assign(inInstance,
                             peer_loads{std::move(inLoads), std::move(inRunning), inNow});
 }
 
-int endpoint_book::openPlaces(const endpoint &inEndpoint, int inPlaces,
+int endpoint_table::openSlots(const endpoint &inEndpoint, int inPlaces,
                               core::time_point inNow) const
 {
     const auto &adapters = inEndpoint.adapters;
@@ -141,13 +141,13 @@
     return open - std::max(inEndpoint.queued, static_cast<int>(inEndpoint.ownWaiting.size()));
 }
 
-void endpoint_book::keepHolders(const std::set<std::string> &inLive)
+void endpoint_table::keepHolders(const std::set<std::string> &inLive)
 {
     for (auto &[id, target] : mEndpoints)
         target.holderReady = target.holderReady && inLive.contains(target.holder);
 }
 
-void endpoint_book::forgetHearsay()
+void endpoint_table::forgetReports()
 {
     mPeers.clear();
     for (auto &[id, target] : mEndpoints) {
@@ -156,19 +156,19 @@
     }
 }
 
-endpoint *endpoint_book::find(std::string_view inId)
+endpoint *endpoint_table::find(std::string_view inId)
 {
     const auto found = mEndpoints.find(inId);
     return found == mEndpoints.end() ? nullptr : &found->second;
 }
 
-const endpoint *endpoint_book::find(std::string_view inId) const
+const endpoint *endpoint_table::find(std::string_view inId) const
 {
     const auto found = mEndpoints.find(inId);
     return found == mEndpoints.end() ? nullptr : &found->second;
 }
 
-void endpoint_book::notePause(endpoint_digest inEndpoint, core::duration inPause)
+void endpoint_table::notePause(endpoint_digest inEndpoint, core::duration inPause)
 {
     if (inPause < sReadingPause || inPause > sLongestPause)
         return;
@@ -183,7 +183,7 @@
         known += std::chrono::duration_cast<core::duration>((inPause - known) * sPauseWeight);
 }
 
-double endpoint_book::slowness(const endpoint &inEndpoint) const
+double endpoint_table::slowness(const endpoint &inEndpoint) const
 {
     const auto typical = mTypicalPauses.find(inEndpoint.entry.service);
     if (inEndpoint.readingPause == core::duration::zero() || typical == mTypicalPauses.end())
@@ -192,7 +192,7 @@
         / std::chrono::duration<double>(typical->second);
 }
 
-void endpoint_book::updateTypicalPauses()
+void endpoint_table::updateTypicalPauses()
 {
     std::map<std::string, std::vector<core::duration>, std::less<>> pauses;
     for (const auto &[id, target] : mEndpoints) {
@@ -207,7 +207,7 @@
     }
 }
 
-endpoint_load endpoint_book::totalLoad(const endpoint &inEndpoint, core::time_point inNow) const
+endpoint_load endpoint_table::totalLoad(const endpoint &inEndpoint, core::time_point inNow) const
 {
     endpoint_load total = inEndpoint.own;
     for (const auto &[instance, peer] : mPeers) {
@@ -223,14 +223,14 @@
     return total;
 }
 
-bool endpoint_book::usable(const endpoint &inEndpoint, core::time_point inNow) const
+bool endpoint_table::usable(const endpoint &inEndpoint, core::time_point inNow) const
 {
     if (inEndpoint.entry.leaving || inNow < inEndpoint.notBefore)
         return false;
     return !inEndpoint.removed || inNow - inEndpoint.removedAt < sLapseGrace;
 }
 
-std::vector<endpoint *> endpoint_book::ofService(std::string_view inService)
+std::vector<endpoint *> endpoint_table::ofService(std::string_view inService)
 {
     std::vector<endpoint *> found;
     for (auto &[id, target] : mEndpoints) {
@@ -240,7 +240,7 @@
     return found;
 }
 
-void endpoint_book::prune(core::time_point inNow)
+void endpoint_table::prune(core::time_point inNow)
 {
     std::erase_if(mEndpoints, [&](const auto &inEntry) {
         const endpoint &target = inEntry.second;
--- a/corneltally/engines/endpoint_table.h
+++ b/corneltally/engines/endpoint_table.h
@@ -95,7 +95,7 @@
 
 /// Endpoints by id: belief from the platform's list, from the holders of engines, from the other
 /// instances and from the outcomes of requests.
-class endpoint_book
+class endpoint_table
 {
 public:
     /// Longest age of another instance's word on the load of an endpoint; heartbeats come five
@@ -146,14 +146,14 @@
 
     /// Adapters that an engine with a number of places could take now: free places and adapters
     /// that no request runs on, less those that wait already.
-    int openPlaces(const endpoint &inEndpoint, int inPlaces, core::time_point inNow) const;
+    int openSlots(const endpoint &inEndpoint, int inPlaces, core::time_point inNow) const;
 
     /// Engines of holders that are not among the live instances get no loads until their holder, or
     /// its successor, says again that it may order.
     void keepHolders(const std::set<std::string> &inLive);
 
     /// Forgets what other instances and holders said, for example after a pause of the process.
-    void forgetHearsay();
+    void forgetReports();
 
     endpoint *find(std::string_view inId);
     const endpoint *find(std::string_view inId) const;
--- a/corneltally/forwarding/forward_context.h
+++ b/corneltally/forwarding/forward_context.h
@@ -57,7 +57,7 @@
     /// the deployment sheets take up to 6 s, plain requests up to 0.5 s.
     core::duration minStreamTime = std::chrono::milliseconds(5000);
     core::duration minPlainTime = std::chrono::milliseconds(1500);
-    engines::choice_settings choice;
+    engines::choice_options choice;
 };
 
 /// State shared by all requests of an instance.
@@ -70,7 +70,7 @@
     std::string failureDomain;
     forward_settings settings;
     std::shared_ptr<const routing::routing_table> table;
-    engines::endpoint_book book;
+    engines::endpoint_table book;
     http1::connection_pool pool;
     limits::fleet_allowance allowance;
     limits::fleet_retry_budget retries;
--- a/corneltally/forwarding/forwarded_request.cpp
+++ b/corneltally/forwarding/forwarded_request.cpp
@@ -128,7 +128,7 @@
     if (mService->engine) {
         mWork.engineMemory = mService->engine->memoryTokens;
         mWork.engineBatch = mService->engine->batch;
-        mWork.adapterPlaces = mService->engine->adapterSlots;
+        mWork.adapterSlots = mService->engine->adapterSlots;
         mWork.model = mTerms.model;
         mWork.adapter = mTerms.adapter;
         mWork.parts = mTerms.parts;
--- a/corneltally/forwarding/forwarded_request_answer.cpp
+++ b/corneltally/forwarding/forwarded_request_answer.cpp
@@ -156,7 +156,7 @@
 /// the request was sent more than once, the pause is not attributable to one endpoint.
 void forwarded_request::recordPause(const engines::endpoint &inTarget)
 {
-    if (mSendCount > 1 || mLongestPause < engines::endpoint_book::sReadingPause)
+    if (mSendCount > 1 || mLongestPause < engines::endpoint_table::sReadingPause)
         return;
     mContext.book.notePause(inTarget.digest, mLongestPause);
     mContext.pauses.push_back(
--- a/corneltally/forwarding/front_service.cpp
+++ b/corneltally/forwarding/front_service.cpp
@@ -257,7 +257,7 @@
 
 void front_service::paused()
 {
-    mContext.book.forgetHearsay();
+    mContext.book.forgetReports();
     mContext.allowance.resetAfterPause(core::boot_clock::now());
 }
 
--- a/corneltally/orders/engine_controller.cpp
+++ b/corneltally/orders/engine_controller.cpp
@@ -28,13 +28,13 @@
 
 } // namespace
 
-engine_keeper::engine_keeper(std::string inEngine, keeper_settings inSettings)
+engine_controller::engine_controller(std::string inEngine, controller_options inSettings)
     : mEngine(std::move(inEngine))
     , mSettings(inSettings)
 { }
 
-void engine_keeper::describe(const engines::endpoint_entry &inEntry,
-                             const routing::engine_profile &inProfile, core::time_point inNow)
+void engine_controller::describe(const engines::endpoint_entry &inEntry,
+                                 const routing::engine_profile &inProfile, core::time_point inNow)
 {
     if (mEntry.startedMs != inEntry.startedMs || mEntry.address != inEntry.address) {
         mSlots.clear();
@@ -61,8 +61,8 @@
     mSlots.configure(slots);
 }
 
-void engine_keeper::asked(const std::string &inModel, const std::string &inAdapter,
-                          std::uint64_t inVersion, double inTokens, core::time_point inNow)
+void engine_controller::asked(const std::string &inModel, const std::string &inAdapter,
+                              std::uint64_t inVersion, double inTokens, core::time_point inNow)
 {
     const std::string key = engines::adapterKey(inModel, inAdapter);
     demand &entry = mDemand[key];
@@ -74,14 +74,14 @@
     entry.last = inNow;
 }
 
-void engine_keeper::used(const std::string &inKey, core::time_point inNow)
+void engine_controller::used(const std::string &inKey, core::time_point inNow)
 {
     mUsed[inKey] = inNow;
     mSlots.requested(inKey, cUseWeight, inNow);
 }
 
-void engine_keeper::running(const std::string &inInstance, const std::string &inKey, bool inRunning,
-                            core::time_point inNow)
+void engine_controller::running(const std::string &inInstance, const std::string &inKey,
+                                bool inRunning, core::time_point inNow)
 {
     instance_use &use = mRunning[inInstance];
     use.at = inNow;
@@ -91,13 +91,14 @@
         use.adapters.erase(inKey);
 }
 
-void engine_keeper::runningSet(const std::string &inInstance,
-                               std::set<std::string, std::less<>> inKeys, core::time_point inNow)
+void engine_controller::runningSet(const std::string &inInstance,
+                                   std::set<std::string, std::less<>> inKeys,
+                                   core::time_point inNow)
 {
     mRunning.insert_or_assign(inInstance, instance_use{std::move(inKeys), inNow});
 }
 
-bool engine_keeper::isRunning(const std::string &inKey, core::time_point inNow) const
+bool engine_controller::isRunning(const std::string &inKey, core::time_point inNow) const
 {
     return std::ranges::any_of(mRunning, [&](const auto &inEntry) {
         return inNow - inEntry.second.at < mSettings.useTime
@@ -105,7 +106,7 @@
     });
 }
 
-void engine_keeper::missing(const std::string &inKey, core::time_point inNow)
+void engine_controller::missing(const std::string &inKey, core::time_point inNow)
 {
     mNextReport = std::min(mNextReport, inNow + mSettings.resyncPeriod);
     const auto resident = mVersions.find(inKey);
@@ -116,21 +117,21 @@
     ++mRevision;
 }
 
-void engine_keeper::versionNamed(const std::string &inKey, std::uint64_t inVersion,
-                                 core::time_point inNow)
+void engine_controller::versionNamed(const std::string &inKey, std::uint64_t inVersion,
+                                     core::time_point inNow)
 {
     named_version &named = mNamed[inKey];
     if (named.version < inVersion)
         named = {inVersion, inNow};
 }
 
-std::uint64_t engine_keeper::namedVersion(const std::string &inKey) const
+std::uint64_t engine_controller::namedVersion(const std::string &inKey) const
 {
     const auto found = mNamed.find(inKey);
     return found == mNamed.end() ? 0 : found->second.version;
 }
 
-engines::engine_order engine_keeper::makeOrder(operation inKind, std::string_view inKey) const
+engines::engine_order engine_controller::makeOrder(operation inKind, std::string_view inKey) const
 {
     auto [model, adapter] = splitKey(inKey);
     engines::engine_order order{.kind = inKind, .model = model, .adapter = adapter};
@@ -140,7 +141,7 @@
     return order;
 }
 
-std::optional<engines::engine_order> engine_keeper::nextOrder(core::time_point inNow)
+std::optional<engines::engine_order> engine_controller::nextOrder(core::time_point inNow)
 {
     if (mUnderWay) {
         // An order without answer is given again: only one of the two can be accepted.
@@ -170,7 +171,7 @@
     return order;
 }
 
-std::optional<engines::engine_order> engine_keeper::modelOrder(core::time_point inNow)
+std::optional<engines::engine_order> engine_controller::modelOrder(core::time_point inNow)
 {
     if (!mModels.empty() || mProfile.models.empty())
         return std::nullopt;
@@ -184,7 +185,7 @@
     return makeOrder(operation::load, model.name + "/");
 }
 
-std::optional<engines::engine_order> engine_keeper::replacementOrder(core::time_point inNow)
+std::optional<engines::engine_order> engine_controller::replacementOrder(core::time_point inNow)
 {
     if (static_cast<int>(mArriving.size()) >= mSettings.maxArriving)
         return std::nullopt;
@@ -205,7 +206,7 @@
     return std::nullopt;
 }
 
-std::optional<engines::engine_order> engine_keeper::adapterOrder(core::time_point inNow)
+std::optional<engines::engine_order> engine_controller::adapterOrder(core::time_point inNow)
 {
     if (static_cast<int>(mArriving.size()) >= mSettings.maxArriving)
         return std::nullopt;
@@ -243,8 +244,8 @@
     return makeOrder(operation::unload, decision.adapter);
 }
 
-void engine_keeper::orderEnded(const engines::engine_order &inOrder,
-                               engines::order_outcome inOutcome, core::time_point inNow)
+void engine_controller::orderEnded(const engines::engine_order &inOrder,
+                                   engines::order_outcome inOutcome, core::time_point inNow)
 {
     // After a new start of the engine, orders to the former one have no meaning any more.
     if (!mUnderWay || mUnderWay->order != inOrder)
@@ -281,8 +282,8 @@
     settled(order, false, inNow);
 }
 
-void engine_keeper::settled(const engines::engine_order &inOrder, bool inDone,
-                            core::time_point inNow)
+void engine_controller::settled(const engines::engine_order &inOrder, bool inDone,
+                                core::time_point inNow)
 {
     ++mRevision;
     if (inOrder.adapter.empty())
@@ -306,7 +307,7 @@
     mArriving[key] = {inOrder.version, readyAt};
 }
 
-void engine_keeper::noteUnloaded(const std::string &inKey)
+void engine_controller::noteUnloaded(const std::string &inKey)
 {
     std::erase(mWarm, inKey);
     mWarm.push_back(inKey);
@@ -314,7 +315,7 @@
         mWarm.erase(mWarm.begin());
 }
 
-core::duration engine_keeper::loadTime(const std::string &inKey) const
+core::duration engine_controller::loadTime(const std::string &inKey) const
 {
     const auto scaled = [this](double inFactor) {
         return std::chrono::duration_cast<core::duration>(mSettings.adapterLoad * inFactor);
@@ -325,14 +326,14 @@
     return scaled(std::clamp(underWay / mFleet.atFullSpeed, 1.0, mSettings.maxSlowDown));
 }
 
-bool engine_keeper::isWarm(const std::string &inKey) const
+bool engine_controller::isWarm(const std::string &inKey) const
 {
     return std::ranges::find(mWarm, inKey) != mWarm.end();
 }
 
 /// Settles an order that was sent twice by what a later report shows.
-void engine_keeper::resolve(const engines::engine_order &inOrder, bool inPresent,
-                            core::time_point inNow)
+void engine_controller::resolve(const engines::engine_order &inOrder, bool inPresent,
+                                core::time_point inNow)
 {
     if (inOrder.adapter.empty())
         return;
@@ -344,7 +345,7 @@
     mSlots.loadEnded(key, inPresent, inNow);
 }
 
-void engine_keeper::advance(core::time_point inNow)
+void engine_controller::advance(core::time_point inNow)
 {
     for (auto entry = mArriving.begin(); entry != mArriving.end();) {
         if (entry->second.readyAt > inNow) {
@@ -363,19 +364,19 @@
     mSlots.prune(inNow);
 }
 
-bool engine_keeper::wantsReport(core::time_point inNow) const
+bool engine_controller::wantsReport(core::time_point inNow) const
 {
     return !mReportUnderWay && inNow >= mNextReport;
 }
 
-void engine_keeper::reportStarted(core::time_point inNow)
+void engine_controller::reportStarted(core::time_point inNow)
 {
     mReportUnderWay = true;
     mReportStartedAt = inNow;
 }
 
-void engine_keeper::reportEnded(const std::optional<engines::engine_report> &inReport,
-                                core::time_point inNow)
+void engine_controller::reportEnded(const std::optional<engines::engine_report> &inReport,
+                                    core::time_point inNow)
 {
     mReportUnderWay = false;
     mNextReport = inNow + (inReport && inSync() ? mSettings.reportPeriod : mSettings.resyncPeriod);
@@ -436,14 +437,14 @@
     ++mRevision;
 }
 
-int engine_keeper::queued() const
+int engine_controller::queued() const
 {
     return static_cast<int>(std::ranges::count_if(mDemand, [this](const auto &inEntry) {
         return mSlots.stateOf(inEntry.first) == scheduling::adapter_slots::state::absent;
     }));
 }
 
-std::vector<std::string> engine_keeper::knownAdapters() const
+std::vector<std::string> engine_controller::knownAdapters() const
 {
     std::vector<std::string> names;
     for (const auto &[key, version] : mVersions)
@@ -453,7 +454,7 @@
     return names;
 }
 
-engines::residency engine_keeper::adapters() const
+engines::residency engine_controller::adapters() const
 {
     engines::residency adapters;
     for (const auto &[key, version] : mVersions) {
--- a/corneltally/orders/engine_controller.h
+++ b/corneltally/orders/engine_controller.h
@@ -31,7 +31,7 @@
 };
 
 /// Constants of the care for one engine.
-struct keeper_settings
+struct controller_options
 {
     /// Time to load an adapter (deployment sheets: 250 ms).
     core::duration adapterLoad = std::chrono::milliseconds(250);
@@ -69,10 +69,10 @@
 /// Adapters and orders of one engine, for the instance that holds it. One order is under way at a
 /// time, and each names the number of orders that the engine has accepted, so that an order without
 /// answer that is carried out late has no effect once a later one was accepted.
-class engine_keeper
+class engine_controller
 {
 public:
-    engine_keeper(std::string inEngine, keeper_settings inSettings);
+    engine_controller(std::string inEngine, controller_options inSettings);
 
     /// The engine's entry and profile; a new start forgets all.
     void describe(const engines::endpoint_entry &inEntry, const routing::engine_profile &inProfile,
@@ -173,7 +173,7 @@
     std::uint64_t namedVersion(const std::string &inKey) const;
 
     std::string mEngine;
-    keeper_settings mSettings;
+    controller_options mSettings;
     engines::endpoint_entry mEntry;
     routing::engine_profile mProfile;
     scheduling::adapter_slots mSlots;
--- a/corneltally/orders/order_service.cpp
+++ b/corneltally/orders/order_service.cpp
@@ -187,7 +187,7 @@
     for (const auto &[engine, domain] : knownEngines()) {
         const bool holds = mClaims.holds(engine);
         if (holds && !mHeld.contains(engine)) {
-            mHeld.emplace(engine, held{engine_keeper(engine, mOptions.keeper)});
+            mHeld.emplace(engine, held{engine_controller(engine, mOptions.keeper)});
             describe(engine);
         } else if (!holds) {
             mHeld.erase(engine);
@@ -221,7 +221,7 @@
     const routing::engine_profile *profile = profileOf(entry->second);
     if (profile == nullptr)
         return;
-    engine_keeper &keeper = found->second.keeper;
+    engine_controller &keeper = found->second.keeper;
     keeper.describe(entry->second, *profile, core::boot_clock::now());
     for (const auto &[key, version] : mNamedVersions)
         keeper.versionNamed(key, version, core::boot_clock::now());
@@ -472,7 +472,7 @@
 
 void order_service::publish(const std::string &inEngine, held &ioHeld, core::time_point inNow)
 {
-    const engine_keeper &keeper = ioHeld.keeper;
+    const engine_controller &keeper = ioHeld.keeper;
     fleet::engine_state state{.endpoint = inEngine,
                               .startedMs = keeper.entry().startedMs,
                               .ready = mClaims.mayOrder(inEngine, inNow) && keeper.inSync(),
--- a/corneltally/orders/order_service.h
+++ b/corneltally/orders/order_service.h
@@ -32,7 +32,7 @@
     fleet::claim self;
     std::string failureDomain;
     fleet::claim_options claims;
-    keeper_settings keeper;
+    controller_options keeper;
 };
 
 /// Gives the orders to the engines that this instance holds: claims engines, keeps their adapters,
@@ -54,7 +54,7 @@
 private:
     struct held
     {
-        engine_keeper keeper;
+        engine_controller keeper;
         std::optional<fleet::engine_state> published;
         core::time_point publishedAt;
     };
--- a/tests/unit/engines_endpoint_choice_test.cpp
+++ b/tests/unit/engines_endpoint_choice_test.cpp
@@ -30,7 +30,7 @@
 
 struct three_engines
 {
-    engines::endpoint_book book;
+    engines::endpoint_table book;
 
     three_engines()
     {
@@ -56,7 +56,7 @@
     return {.service = "models",
             .engineMemory = 250'000,
             .engineBatch = 64,
-            .adapterPlaces = 2,
+            .adapterSlots = 2,
             .model = "base",
             .adapter = "a1",
             .promptTokens = inPromptTokens};
@@ -191,7 +191,7 @@
 
 TEST_CASE("a plain service's request stays in its failure domain while there is room")
 {
-    engines::endpoint_book book;
+    engines::endpoint_table book;
     for (const auto &[id, domain] :
          {std::pair("s1", "north"), std::pair("s2", "south"), std::pair("s3", "west")})
         book.apply({.id = id,
@@ -213,7 +213,7 @@
 struct engines_with_adapter
 {
     static constexpr int sCount = 12;
-    engines::endpoint_book book;
+    engines::endpoint_table book;
 
     engines_with_adapter()
     {
--- a/tests/unit/orders_engine_keeper_test.cpp
+++ b/tests/unit/orders_engine_keeper_test.cpp
@@ -24,7 +24,7 @@
 
 struct kept_engine
 {
-    orders::engine_keeper keeper{"e1", {}};
+    orders::engine_controller keeper{"e1", {}};
     core::time_point now = cStart;
     std::uint64_t accepted = 3;
 
