--- a/corneltally/engines/endpoint_choice.cpp
+++ b/corneltally/engines/endpoint_choice.cpp
@@ -29,14 +29,14 @@
 }
 
 /// Prompt tokens that the engine need not read, since it has read them for this adapter before.
-double keptTokens(const endpoint &inEndpoint, const work_request &inRequest,
-                  const choice_options &inSettings, core::time_point inNow)
+double cachedTokens(const endpoint &inEndpoint, const work_request &inRequest,
+                    const choice_options &inOptions, core::time_point inNow)
 {
     double tokens = 0;
     const std::vector<std::string> names = sharedPartNames(inRequest);
     for (std::size_t index = 0; index < names.size(); ++index) {
         const auto found = inEndpoint.recentParts.find(names[index]);
-        if (found == inEndpoint.recentParts.end() || inNow - found->second > inSettings.partAge)
+        if (found == inEndpoint.recentParts.end() || inNow - found->second > inOptions.maxPartAge)
             break;
         tokens += inRequest.parts[index].tokens;
     }
@@ -44,16 +44,16 @@
 }
 
 double engineCost(const endpoint &inEndpoint, const endpoint_load &inLoad,
-                  const work_request &inRequest, double inSlowness,
-                  const choice_options &inSettings, core::time_point inNow)
+                  const work_request &inRequest, double inSlowness, const choice_options &inOptions,
+                  core::time_point inNow)
 {
-    const double toRead
-        = inRequest.promptTokens - keptTokens(inEndpoint, inRequest, inSettings, inNow);
-    const double pairs = toRead * (inRequest.promptTokens - toRead / 2);
-    double cost = ((inLoad.promptTokens + toRead) / inSettings.promptTokensPerMs
-                       * (1 + inSettings.stepOverhead)
-                   + pairs / 1e6 * inSettings.readingMsPerMillionPairs)
-        * std::clamp(inSlowness, 1.0, inSettings.maxSlowness);
+    const double uncached
+        = inRequest.promptTokens - cachedTokens(inEndpoint, inRequest, inOptions, inNow);
+    const double pairs = uncached * (inRequest.promptTokens - uncached / 2);
+    double cost = ((inLoad.promptTokens + uncached) / inOptions.promptTokensPerMs
+                       * (1 + inOptions.stepOverhead)
+                   + pairs / 1e6 * inOptions.prefillMsPerMillionPairs)
+        * std::clamp(inSlowness, 1.0, inOptions.maxSlowness);
     if (inRequest.engineBatch > 0 && inLoad.requests >= inRequest.engineBatch)
         cost += cBeyondBatchMs * (1 + inLoad.requests - inRequest.engineBatch);
     if (inRequest.engineMemory > 0) {
@@ -67,18 +67,18 @@
 /// What the pauses of an engine cost, beside the request's own wait: answers are late in which an
 /// event comes later than the route allows, and the reading of a prompt delays those beside it.
 double pauseCost(const endpoint &inEndpoint, const endpoint_load &inLoad,
-                 const work_request &inRequest, const choice_options &inSettings)
+                 const work_request &inRequest, const choice_options &inOptions)
 {
     if (inRequest.targetPause <= core::duration::zero()
-        || inEndpoint.readingPause <= inRequest.targetPause)
+        || inEndpoint.prefillPause <= inRequest.targetPause)
         return 0;
     const double tokens
         = inRequest.expectedTokens > 0 ? inRequest.expectedTokens : inRequest.answerTokens;
     const double exposure
-        = std::min(1.0, tokens * inMs(inSettings.answerToken) / inMs(inSettings.pauseExposure));
-    const double delaying = std::min(1.0, inRequest.promptTokens / inSettings.pausingPromptTokens);
-    return inMs(inSettings.pausePenalty) * exposure
-        + inMs(inSettings.besidePenalty) * delaying * inLoad.requests;
+        = std::min(1.0, tokens * inMs(inOptions.answerToken) / inMs(inOptions.pauseExposure));
+    const double delaying = std::min(1.0, inRequest.promptTokens / inOptions.pausingPromptTokens);
+    return inMs(inOptions.pausePenalty) * exposure
+        + inMs(inOptions.concurrentPenalty) * delaying * inLoad.requests;
 }
 
 double plainCost(const endpoint &inEndpoint, const endpoint_load &inLoad)
@@ -100,8 +100,8 @@
 };
 
 /// Adds the wait for the adapter. Returns false if the endpoint can't get it.
-bool addAdapterWait(candidate &ioCandidate, const endpoint_table &inBook, const std::string &inKey,
-                    const work_request &inRequest, const choice_options &inSettings,
+bool addAdapterWait(candidate &ioCandidate, const endpoint_table &inTable, const std::string &inKey,
+                    const work_request &inRequest, const choice_options &inOptions,
                     core::time_point inNow)
 {
     const endpoint &target = *ioCandidate.target;
@@ -120,14 +120,14 @@
         return false;
     ioCandidate.state = endpoint_choice::readiness::to_load;
     const bool isWarm = std::ranges::find(target.warm, inKey) != target.warm.end();
-    ioCandidate.cost += inMs(inSettings.adapterLoad) * (isWarm ? inSettings.warmLoad : 1);
+    ioCandidate.cost += inMs(inOptions.adapterLoad) * (isWarm ? inOptions.warmLoad : 1);
     if (!isWarm)
-        ioCandidate.cost += inMs(inSettings.coldPenalty);
+        ioCandidate.cost += inMs(inOptions.coldPenalty);
     // A request for an adapter that is asked for already waits no longer than that one.
-    const int open = inBook.openSlots(target, inRequest.adapterSlots, inNow)
+    const int open = inTable.openSlots(target, inRequest.adapterSlots, inNow)
         + (target.ownWaiting.contains(inKey) ? 1 : 0);
     if (open <= 0)
-        ioCandidate.cost += inMs(inSettings.placeWait) * (1 - open);
+        ioCandidate.cost += inMs(inOptions.slotWait) * (1 - open);
     return true;
 }
 
@@ -144,15 +144,16 @@
     return names;
 }
 
-std::optional<endpoint_choice> chooseEndpoint(endpoint_table &ioBook, const work_request &inRequest,
+std::optional<endpoint_choice> chooseEndpoint(endpoint_table &ioTable,
+                                              const work_request &inRequest,
                                               const std::string &inFailureDomain,
-                                              const choice_options &inSettings,
+                                              const choice_options &inOptions,
                                               core::time_point inNow)
 {
     const bool needsModel = !inRequest.model.empty();
     const std::string key = adapterKey(inRequest.model, inRequest.adapter);
     std::vector<candidate> candidates;
-    const std::vector<endpoint *> all = ioBook.ofService(inRequest.service);
+    const std::vector<endpoint *> all = ioTable.ofService(inRequest.service);
     // Where most endpoints fail, leaving them out would only overload the others.
     const bool respectHealth
         = 2
@@ -160,27 +161,27 @@
                 all, [](const endpoint *inEndpoint) { return inEndpoint->health.isProbing(); })
         < std::ssize(all);
     for (endpoint *target : all) {
-        if (!ioBook.usable(*target, inNow) || inRequest.excluded.contains(target->entry.id)
+        if (!ioTable.usable(*target, inNow) || inRequest.excluded.contains(target->entry.id)
             || (respectHealth && !target->health.mayStart(inNow)))
             continue;
         if (needsModel && !target->holdsModel(inRequest.model))
             continue;
-        const endpoint_load load = ioBook.totalLoad(*target, inNow);
+        const endpoint_load load = ioTable.totalLoad(*target, inNow);
         candidate entry{.target = target,
                         .cost = needsModel ? engineCost(*target, load, inRequest,
-                                                        ioBook.slowness(*target), inSettings, inNow)
+                                                        ioTable.slowness(*target), inOptions, inNow)
                                            : plainCost(*target, load),
                         .preference = core::rendezvousWeight(key, target->entry.id)};
         if (needsModel && !inRequest.adapter.empty()
-            && !addAdapterWait(entry, ioBook, key, inRequest, inSettings, inNow))
+            && !addAdapterWait(entry, ioTable, key, inRequest, inOptions, inNow))
             continue;
         const double health = target->health.weight(inNow);
-        entry.cost /= std::max(health, inSettings.leastHealth);
+        entry.cost /= std::max(health, inOptions.minHealth);
         if (target->entry.failureDomain != inFailureDomain)
-            entry.cost += inMs(inSettings.domainPenalty);
+            entry.cost += inMs(inOptions.domainPenalty);
         entry.estimate = entry.cost;
         if (needsModel)
-            entry.cost += pauseCost(*target, load, inRequest, inSettings);
+            entry.cost += pauseCost(*target, load, inRequest, inOptions);
         candidates.push_back(entry);
     }
     if (candidates.empty())
@@ -190,7 +191,7 @@
     double rank = 0;
     for (candidate &entry : candidates) {
         if (entry.state == endpoint_choice::readiness::to_load)
-            entry.cost += inMs(inSettings.rankPenalty) * rank++;
+            entry.cost += inMs(inOptions.rankPenalty) * rank++;
     }
     const candidate &best = *std::ranges::min_element(candidates, {}, &candidate::cost);
     return endpoint_choice{best.target->entry.id, best.state, best.readyAt, fromMs(best.estimate)};
--- a/corneltally/engines/endpoint_choice.h
+++ b/corneltally/engines/endpoint_choice.h
@@ -22,7 +22,7 @@
     double stepOverhead = 0.12;
     /// Time for a million pairs of a token that is read and one before it (deployment sheets:
     /// 0.49).
-    double readingMsPerMillionPairs = 0.49;
+    double prefillMsPerMillionPairs = 0.49;
     /// Cost of a long answer at an engine whose pauses are longer than the route allows. Such an
     /// answer is late, which loses two thirds of its worth on the deployment sheets.
     core::duration pausePenalty = std::chrono::milliseconds(600);
@@ -32,7 +32,7 @@
     core::duration answerToken = std::chrono::milliseconds(8);
     /// Cost of reading a prompt of this size beside another answer at such an engine.
     double pausingPromptTokens = 8'000;
-    core::duration besidePenalty = std::chrono::milliseconds(60);
+    core::duration concurrentPenalty = std::chrono::milliseconds(60);
     /// Bound of the factor by which an engine counts as slower than the typical one.
     double maxSlowness = 3;
     /// Time to load an adapter (deployment sheets: 250 ms).
@@ -44,16 +44,16 @@
     core::duration coldPenalty = std::chrono::milliseconds(150);
     /// Expected wait for a place at an engine whose adapters are all in use, for each adapter that
     /// waits. Requests run for one to three seconds at an engine with eight places.
-    core::duration placeWait = std::chrono::milliseconds(350);
+    core::duration slotWait = std::chrono::milliseconds(350);
     /// Cost of leaving the own failure domain: delay and the price of the bytes.
     core::duration domainPenalty = std::chrono::milliseconds(5);
     /// Cost of each place that an engine stands behind the preferred one for an adapter that has to
     /// be loaded. It keeps the instances' choices together while engines are equally loaded.
     core::duration rankPenalty = std::chrono::milliseconds(20);
     /// A part of a prompt counts as kept by an engine for this long after its last use.
-    core::duration partAge = std::chrono::seconds(15);
+    core::duration maxPartAge = std::chrono::seconds(15);
     /// Weight below which an unhealthy endpoint's estimate grows no further.
-    double leastHealth = 0.1;
+    double minHealth = 0.1;
 };
 
 /// A request that needs an endpoint.
@@ -105,9 +105,10 @@
 
 /// Chooses the endpoint with the least estimated time to the first event; nothing if no endpoint
 /// can serve the request.
-std::optional<endpoint_choice> chooseEndpoint(endpoint_table &ioBook, const work_request &inRequest,
+std::optional<endpoint_choice> chooseEndpoint(endpoint_table &ioTable,
+                                              const work_request &inRequest,
                                               const std::string &inFailureDomain,
-                                              const choice_options &inSettings,
+                                              const choice_options &inOptions,
                                               core::time_point inNow);
 
 } // namespace corneltally::engines
--- a/corneltally/engines/endpoint_entry.h
+++ b/corneltally/engines/endpoint_entry.h
@@ -23,7 +23,7 @@
     /// The endpoint is leaving and must get no new requests.
     bool leaving = false;
     /// Time after which a leaving endpoint is gone, whatever it runs.
-    std::optional<std::chrono::milliseconds> goneIn;
+    std::optional<std::chrono::milliseconds> removedIn;
     /// Start of the endpoint, in ms since 1970. A new start under the same id has another one.
     std::uint64_t startedMs = 0;
     /// Orders accepted since the start.
--- a/corneltally/engines/endpoint_table.cpp
+++ b/corneltally/engines/endpoint_table.cpp
@@ -22,14 +22,14 @@
 }
 
 /// Adapters that were unloaded are kept at hand by the engine for a while.
-void noteUnloaded(endpoint &ioEndpoint, const residency &inNext)
+void recordUnloaded(endpoint &ioEndpoint, const residency &inNext)
 {
-    const auto stays = [&](const std::string &inAdapter) {
+    const auto isKept = [&](const std::string &inAdapter) {
         return inNext.resident.contains(inAdapter) || inNext.arriving.contains(inAdapter);
     };
-    std::erase_if(ioEndpoint.warm, stays);
+    std::erase_if(ioEndpoint.warm, isKept);
     for (const auto &[adapter, version] : ioEndpoint.adapters.resident) {
-        if (!stays(adapter))
+        if (!isKept(adapter))
             ioEndpoint.warm.push_back(adapter);
     }
     if (ioEndpoint.warm.size() > endpoint_table::sWarmAdapters)
@@ -72,7 +72,7 @@
     target.entry = inEntry;
     target.digest = digestOf(inEntry.id);
     target.removed = false;
-    if (restarted || inNow - target.holderReportAt > sHolderAge)
+    if (restarted || inNow - target.holderReportAt > sMaxHolderReportAge)
         adoptEntry(target);
     return restarted;
 }
@@ -86,7 +86,7 @@
     target->removedAt = inNow;
     // Without a grace the endpoint is unusable at once.
     if (!inMayReturn || target->entry.leaving)
-        target->removedAt -= sLapseGrace;
+        target->removedAt -= sReturnTimeout;
 }
 
 void endpoint_table::keepOnly(const std::vector<std::string> &inIds, bool inMayReturn,
@@ -109,7 +109,7 @@
     target->holder = inHolder;
     target->holderReady = inReady;
     target->holderReportAt = inNow;
-    noteUnloaded(*target, inAdapters);
+    recordUnloaded(*target, inAdapters);
     target->adapters = std::move(inAdapters);
     target->queued = inQueued;
     target->models = std::move(inModels);
@@ -123,17 +123,16 @@
                             peer_loads{std::move(inLoads), std::move(inRunning), inNow});
 }
 
-int endpoint_table::openSlots(const endpoint &inEndpoint, int inPlaces,
-                              core::time_point inNow) const
+int endpoint_table::openSlots(const endpoint &inEndpoint, int inSlots, core::time_point inNow) const
 {
     const auto &adapters = inEndpoint.adapters;
-    int open = inPlaces - static_cast<int>(adapters.resident.size() + adapters.arriving.size());
+    int open = inSlots - static_cast<int>(adapters.resident.size() + adapters.arriving.size());
     for (const auto &entry : adapters.resident) {
         const std::string &adapter = entry.first;
         const adapter_digest digest = digestOf(inEndpoint.entry.id, adapter);
         const bool isRunning = inEndpoint.ownRunning.contains(adapter)
             || std::ranges::any_of(mPeers, [&](const auto &inPeer) {
-                                   return inNow - inPeer.second.at <= sLoadAge
+                                   return inNow - inPeer.second.at <= sMaxLoadAge
                                        && inPeer.second.running.contains(digest);
                                });
         open += isRunning ? 0 : 1;
@@ -168,15 +167,15 @@
     return found == mEndpoints.end() ? nullptr : &found->second;
 }
 
-void endpoint_table::notePause(endpoint_digest inEndpoint, core::duration inPause)
+void endpoint_table::recordPause(endpoint_digest inEndpoint, core::duration inPause)
 {
-    if (inPause < sReadingPause || inPause > sLongestPause)
+    if (inPause < sMinPrefillPause || inPause > sMaxPrefillPause)
         return;
     const auto found = std::ranges::find_if(
         mEndpoints, [&](const auto &inEntry) { return inEntry.second.digest == inEndpoint; });
     if (found == mEndpoints.end())
         return;
-    core::duration &known = found->second.readingPause;
+    core::duration &known = found->second.prefillPause;
     if (known == core::duration::zero())
         known = inPause;
     else
@@ -186,9 +185,9 @@
 double endpoint_table::slowness(const endpoint &inEndpoint) const
 {
     const auto typical = mTypicalPauses.find(inEndpoint.entry.service);
-    if (inEndpoint.readingPause == core::duration::zero() || typical == mTypicalPauses.end())
+    if (inEndpoint.prefillPause == core::duration::zero() || typical == mTypicalPauses.end())
         return 1;
-    return std::chrono::duration<double>(inEndpoint.readingPause)
+    return std::chrono::duration<double>(inEndpoint.prefillPause)
         / std::chrono::duration<double>(typical->second);
 }
 
@@ -196,8 +195,8 @@
 {
     std::map<std::string, std::vector<core::duration>, std::less<>> pauses;
     for (const auto &[id, target] : mEndpoints) {
-        if (target.readingPause > core::duration::zero())
-            pauses[target.entry.service].push_back(target.readingPause);
+        if (target.prefillPause > core::duration::zero())
+            pauses[target.entry.service].push_back(target.prefillPause);
     }
     mTypicalPauses.clear();
     for (auto &[service, list] : pauses) {
@@ -211,7 +210,7 @@
 {
     endpoint_load total = inEndpoint.own;
     for (const auto &[instance, peer] : mPeers) {
-        if (inNow - peer.at > sLoadAge)
+        if (inNow - peer.at > sMaxLoadAge)
             continue;
         const auto found = peer.loads.find(inEndpoint.digest);
         if (found == peer.loads.end())
@@ -227,7 +226,7 @@
 {
     if (inEndpoint.entry.leaving || inNow < inEndpoint.notBefore)
         return false;
-    return !inEndpoint.removed || inNow - inEndpoint.removedAt < sLapseGrace;
+    return !inEndpoint.removed || inNow - inEndpoint.removedAt < sReturnTimeout;
 }
 
 std::vector<endpoint *> endpoint_table::ofService(std::string_view inService)
@@ -245,11 +244,11 @@
     std::erase_if(mEndpoints, [&](const auto &inEntry) {
         const endpoint &target = inEntry.second;
         return target.removed && target.own.requests == 0
-            && inNow - target.removedAt > sForgetAfter;
+            && inNow - target.removedAt > sRemovedRetention;
     });
     updateTypicalPauses();
     std::erase_if(mPeers,
-                  [&](const auto &inEntry) { return inNow - inEntry.second.at > sLoadAge; });
+                  [&](const auto &inEntry) { return inNow - inEntry.second.at > sMaxLoadAge; });
 }
 
 } // namespace corneltally::engines
--- a/corneltally/engines/endpoint_table.h
+++ b/corneltally/engines/endpoint_table.h
@@ -86,7 +86,7 @@
     std::vector<std::string> warm;
     /// Average of the longest pause between the events of an answer during which another prompt
     /// was read; zero before the first one.
-    core::duration readingPause{};
+    core::duration prefillPause{};
     /// Shared parts of prompts that this instance sent, with the time of the last use.
     std::map<std::string, core::time_point, std::less<>> recentParts;
 
@@ -100,22 +100,22 @@
 public:
     /// Longest age of another instance's word on the load of an endpoint; heartbeats come five
     /// times a second.
-    static constexpr core::duration sLoadAge = std::chrono::milliseconds(1500);
+    static constexpr core::duration sMaxLoadAge = std::chrono::milliseconds(1500);
     /// Longest age of a holder's report before the platform's list counts for the adapters again.
-    static constexpr core::duration sHolderAge = std::chrono::seconds(5);
+    static constexpr core::duration sMaxHolderReportAge = std::chrono::seconds(5);
     /// Entries that lapsed while the store was away come back within this time of its return.
-    static constexpr core::duration sLapseGrace = std::chrono::milliseconds(2500);
+    static constexpr core::duration sReturnTimeout = std::chrono::milliseconds(2500);
     /// Adapters that an engine keeps at hand after they were unloaded.
     static constexpr std::size_t sWarmAdapters = 40;
     /// Pauses from which another prompt was read meanwhile: a step that reads 2,048 tokens takes
     /// 55 ms, and an event holds four to six tokens (deployment sheets).
-    static constexpr core::duration sReadingPause = std::chrono::milliseconds(200);
+    static constexpr core::duration sMinPrefillPause = std::chrono::milliseconds(200);
     /// Longer pauses come from something else, for example a preempted answer.
-    static constexpr core::duration sLongestPause = std::chrono::milliseconds(900);
+    static constexpr core::duration sMaxPrefillPause = std::chrono::milliseconds(900);
     /// Weight of a new pause in the average.
     static constexpr double sPauseWeight = 0.25;
     /// Knowledge of an endpoint is dropped this long after its entry went away.
-    static constexpr core::duration sForgetAfter = std::chrono::seconds(30);
+    static constexpr core::duration sRemovedRetention = std::chrono::seconds(30);
 
     /// Adds or changes an endpoint. Returns true if this is a new start of it.
     bool apply(const endpoint_entry &inEntry, core::time_point inNow);
@@ -139,14 +139,14 @@
 
     /// An answer of the endpoint had a longest pause, as this or another instance saw it. Short
     /// ones say nothing, since no other prompt was read meanwhile.
-    void notePause(endpoint_digest inEndpoint, core::duration inPause);
+    void recordPause(endpoint_digest inEndpoint, core::duration inPause);
 
     /// How much slower an engine is than the typical one of its service; 1 if that is not known.
     double slowness(const endpoint &inEndpoint) const;
 
     /// Adapters that an engine with a number of places could take now: free places and adapters
     /// that no request runs on, less those that wait already.
-    int openSlots(const endpoint &inEndpoint, int inPlaces, core::time_point inNow) const;
+    int openSlots(const endpoint &inEndpoint, int inSlots, core::time_point inNow) const;
 
     /// Engines of holders that are not among the live instances get no loads until their holder, or
     /// its successor, says again that it may order.
--- a/corneltally/forwarding/forwarded_request_answer.cpp
+++ b/corneltally/forwarding/forwarded_request_answer.cpp
@@ -156,9 +156,9 @@
 /// the request was sent more than once, the pause is not attributable to one endpoint.
 void forwarded_request::recordPause(const engines::endpoint &inTarget)
 {
-    if (mSendCount > 1 || mLongestPause < engines::endpoint_table::sReadingPause)
+    if (mSendCount > 1 || mLongestPause < engines::endpoint_table::sMinPrefillPause)
         return;
-    mContext.book.notePause(inTarget.digest, mLongestPause);
+    mContext.book.recordPause(inTarget.digest, mLongestPause);
     mContext.pauses.push_back(
         {inTarget.digest, std::chrono::duration_cast<milliseconds>(mLongestPause)});
 }
--- a/corneltally/forwarding/front_service.cpp
+++ b/corneltally/forwarding/front_service.cpp
@@ -221,7 +221,7 @@
                                      {beat->adaptersRunning.begin(), beat->adaptersRunning.end()},
                                      now);
         for (const fleet::answer_pause &seen : beat->pauses)
-            mContext.book.notePause(seen.endpoint, seen.pause);
+            mContext.book.recordPause(seen.endpoint, seen.pause);
         mContext.allowance.applyPeerTotals(inReceived.instance, inReceived.incarnation,
                                            beat->accountUses, now);
     }
--- a/tests/unit/engines_endpoint_choice_test.cpp
+++ b/tests/unit/engines_endpoint_choice_test.cpp
@@ -253,7 +253,7 @@
     for (int answer = 0; answer < 10; ++answer) {
         for (int index = 0; index < engines_with_adapter::sCount; ++index) {
             const std::string id = "e" + std::to_string(index);
-            fleet.book.notePause(engines::digestOf(id), slow.contains(id) ? 455ms : 350ms);
+            fleet.book.recordPause(engines::digestOf(id), slow.contains(id) ? 455ms : 350ms);
         }
     }
     fleet.book.prune(cStart);
@@ -272,11 +272,11 @@
 TEST_CASE("pauses from other causes and of unknown endpoints change nothing")
 {
     engines_with_adapter fleet;
-    fleet.book.notePause(engines::digestOf("e1"), 40ms);
-    fleet.book.notePause(engines::digestOf("e1"), 3s);
-    fleet.book.notePause(engines::digestOf("nobody"), 400ms);
+    fleet.book.recordPause(engines::digestOf("e1"), 40ms);
+    fleet.book.recordPause(engines::digestOf("e1"), 3s);
+    fleet.book.recordPause(engines::digestOf("nobody"), 400ms);
     fleet.book.prune(cStart);
-    CHECK(fleet.book.find("e1")->readingPause == 0ms);
+    CHECK(fleet.book.find("e1")->prefillPause == 0ms);
     CHECK(fleet.book.slowness(*fleet.book.find("e1")) == 1);
 }
 
@@ -285,7 +285,7 @@
     engines_with_adapter fleet;
     for (int index = 0; index < engines_with_adapter::sCount; ++index) {
         const std::string id = "e" + std::to_string(index);
-        fleet.book.notePause(engines::digestOf(id), 700ms);
+        fleet.book.recordPause(engines::digestOf(id), 700ms);
         fleet.book.find(id)->own.requests = 30;
     }
     engines::work_request request = adapterRequest(800);
