--- a/corneltally/forwarding/instance.cpp
+++ b/corneltally/forwarding/instance.cpp
@@ -164,7 +164,7 @@
                                                .incarnation = mIncarnation},
                                       .failureDomain = mSettings.failureDomain};
         options.claims.handoverPause = milliseconds(mSettings.holderPauseMs);
-        options.keeper.adapterLoad = milliseconds(mSettings.adapterLoadMs);
+        options.controller.adapterLoad = milliseconds(mSettings.adapterLoadMs);
         return options;
     }
 
--- a/corneltally/orders/engine_controller.cpp
+++ b/corneltally/orders/engine_controller.cpp
@@ -17,7 +17,7 @@
 constexpr double cUseWeight = 1000;
 
 /// Uses that are older have no effect on any decision.
-constexpr core::duration cUseMemory = std::chrono::seconds(30);
+constexpr core::duration cUseRetention = std::chrono::seconds(30);
 
 /// Splits "model/adapter".
 std::pair<std::string, std::string> splitKey(std::string_view inKey)
@@ -28,13 +28,13 @@
 
 } // namespace
 
-engine_controller::engine_controller(std::string inEngine, controller_options inSettings)
+engine_controller::engine_controller(std::string inEngine, controller_options inOptions)
     : mEngine(std::move(inEngine))
-    , mSettings(inSettings)
+    , mOptions(inOptions)
 { }
 
-void engine_controller::describe(const engines::endpoint_entry &inEntry,
-                                 const routing::engine_profile &inProfile, core::time_point inNow)
+void engine_controller::configure(const engines::endpoint_entry &inEntry,
+                                  const routing::engine_profile &inProfile, core::time_point inNow)
 {
     if (mEntry.startedMs != inEntry.startedMs || mEntry.address != inEntry.address) {
         mSlots.clear();
@@ -43,7 +43,7 @@
         mModels.clear();
         mWarm.clear();
         mOrders.reset();
-        mUnderWay.reset();
+        mInFlight.reset();
         mUnresolved.reset();
         mOrderNotBefore = inNow;
         mModelLoadUntil.reset();
@@ -56,13 +56,14 @@
     slots.slots = std::max(1, inProfile.adapterSlots);
     slots.popularityHalfLife = std::chrono::seconds(15);
     // Most refusals mean that another order is under way, which says nothing about the adapter.
-    slots.firstBackoff = mSettings.busyPause;
+    slots.firstBackoff = mOptions.busyDelay;
     slots.maxBackoff = std::chrono::seconds(2);
     mSlots.configure(slots);
 }
 
-void engine_controller::asked(const std::string &inModel, const std::string &inAdapter,
-                              std::uint64_t inVersion, double inTokens, core::time_point inNow)
+void engine_controller::adapterRequested(const std::string &inModel, const std::string &inAdapter,
+                                         std::uint64_t inVersion, double inTokens,
+                                         core::time_point inNow)
 {
     const std::string key = engines::adapterKey(inModel, inAdapter);
     demand &entry = mDemand[key];
@@ -74,14 +75,14 @@
     entry.last = inNow;
 }
 
-void engine_controller::used(const std::string &inKey, core::time_point inNow)
+void engine_controller::adapterUsed(const std::string &inKey, core::time_point inNow)
 {
     mUsed[inKey] = inNow;
     mSlots.requested(inKey, cUseWeight, inNow);
 }
 
-void engine_controller::running(const std::string &inInstance, const std::string &inKey,
-                                bool inRunning, core::time_point inNow)
+void engine_controller::setRunning(const std::string &inInstance, const std::string &inKey,
+                                   bool inRunning, core::time_point inNow)
 {
     instance_use &use = mRunning[inInstance];
     use.at = inNow;
@@ -91,9 +92,9 @@
         use.adapters.erase(inKey);
 }
 
-void engine_controller::runningSet(const std::string &inInstance,
-                                   std::set<std::string, std::less<>> inKeys,
-                                   core::time_point inNow)
+void engine_controller::setRunningAdapters(const std::string &inInstance,
+                                           std::set<std::string, std::less<>> inKeys,
+                                           core::time_point inNow)
 {
     mRunning.insert_or_assign(inInstance, instance_use{std::move(inKeys), inNow});
 }
@@ -101,18 +102,18 @@
 bool engine_controller::isRunning(const std::string &inKey, core::time_point inNow) const
 {
     return std::ranges::any_of(mRunning, [&](const auto &inEntry) {
-        return inNow - inEntry.second.at < mSettings.useTime
+        return inNow - inEntry.second.at < mOptions.maxUseAge
             && inEntry.second.adapters.contains(inKey);
     });
 }
 
-void engine_controller::missing(const std::string &inKey, core::time_point inNow)
+void engine_controller::adapterMissing(const std::string &inKey, core::time_point inNow)
 {
-    mNextReport = std::min(mNextReport, inNow + mSettings.resyncPeriod);
+    mNextReport = std::min(mNextReport, inNow + mOptions.resyncPeriod);
     const auto resident = mVersions.find(inKey);
     if (resident == mVersions.end())
         return;
-    mArriving[inKey] = {resident->second, inNow + mSettings.lateLoadPause};
+    mArriving[inKey] = {resident->second, inNow + mOptions.lateLoadDelay};
     mVersions.erase(resident);
     ++mRevision;
 }
@@ -143,12 +144,12 @@
 
 std::optional<engines::engine_order> engine_controller::nextOrder(core::time_point inNow)
 {
-    if (mUnderWay) {
+    if (mInFlight) {
         // An order without answer is given again: only one of the two can be accepted.
-        if (mUnderWay->sent || inNow < mUnderWay->notBefore)
+        if (mInFlight->sent || inNow < mInFlight->notBefore)
             return std::nullopt;
-        mUnderWay->sent = true;
-        return mUnderWay->order;
+        mInFlight->sent = true;
+        return mInFlight->order;
     }
     if (!inSync() || inNow < mOrderNotBefore)
         return std::nullopt;
@@ -167,7 +168,7 @@
         mVersions.erase(key);
     }
     ++mRevision;
-    mUnderWay = under_way{.order = *order, .sent = true};
+    mInFlight = in_flight_order{.order = *order, .sent = true};
     return order;
 }
 
@@ -187,14 +188,14 @@
 
 std::optional<engines::engine_order> engine_controller::replacementOrder(core::time_point inNow)
 {
-    if (static_cast<int>(mArriving.size()) >= mSettings.maxArriving)
+    if (static_cast<int>(mArriving.size()) >= mOptions.maxArriving)
         return std::nullopt;
     for (const auto &[key, version] : mVersions) {
         if (version >= namedVersion(key)
             || mSlots.stateOf(key) != scheduling::adapter_slots::state::resident)
             continue;
         const auto named = mNamed.find(key);
-        if (isRunning(key, inNow) && inNow - named->second.at < mSettings.replacementPatience)
+        if (isRunning(key, inNow) && inNow - named->second.at < mOptions.replacementDelay)
             continue;
         // An old adapter that nobody asks for makes room instead of being fetched again.
         const auto used = mUsed.find(key);
@@ -208,17 +209,17 @@
 
 std::optional<engines::engine_order> engine_controller::adapterOrder(core::time_point inNow)
 {
-    if (static_cast<int>(mArriving.size()) >= mSettings.maxArriving)
+    if (static_cast<int>(mArriving.size()) >= mOptions.maxArriving)
         return std::nullopt;
     std::erase_if(mDemand, [&](const auto &inEntry) {
-        return inNow - inEntry.second.last > mSettings.demandAge;
+        return inNow - inEntry.second.last > mOptions.maxDemandAge;
     });
     std::vector<scheduling::adapter_demand> demands;
     for (const auto &[key, entry] : mDemand) {
         if (std::ranges::find(mModels, entry.model) == mModels.end())
             continue;
         // No room is made for an adapter that may not be fetched yet.
-        if (!mFleet.mayFetch && !isWarm(key)
+        if (!mLoadState.mayFetch && !isWarm(key)
             && mSlots.stateOf(key) == scheduling::adapter_slots::state::absent)
             continue;
         demands.push_back(
@@ -248,42 +249,42 @@
                                    engines::order_outcome inOutcome, core::time_point inNow)
 {
     // After a new start of the engine, orders to the former one have no meaning any more.
-    if (!mUnderWay || mUnderWay->order != inOrder)
+    if (!mInFlight || mInFlight->order != inOrder)
         return;
-    const engines::engine_order order = mUnderWay->order;
-    const bool repeated = mUnderWay->repeated;
+    const engines::engine_order order = mInFlight->order;
+    const bool repeated = mInFlight->repeated;
     // An order that was refused changes nothing, so a report from before it still holds.
     if (inOutcome == engines::order_outcome::accepted || inOutcome == engines::order_outcome::holds
         || inOutcome == engines::order_outcome::unknown)
         mLastChangeAt = inNow;
     if (inOutcome == engines::order_outcome::unknown) {
-        mUnderWay->sent = false;
-        mUnderWay->repeated = true;
-        mUnderWay->notBefore = inNow + mSettings.repeatPause;
+        mInFlight->sent = false;
+        mInFlight->repeated = true;
+        mInFlight->notBefore = inNow + mOptions.repeatDelay;
         return;
     }
-    mUnderWay.reset();
+    mInFlight.reset();
     if (inOutcome == engines::order_outcome::accepted
         || inOutcome == engines::order_outcome::holds) {
         mOrders = order.expectedOrders + 1;
-        settled(order, true, inNow);
+        finishOrder(order, true, inNow);
         return;
     }
     // A report must be newer than the order to show what became of it; further refusals must not
     // put it off.
-    mNextReport = std::min(mNextReport, inNow + mSettings.reportLag);
-    mOrderNotBefore = inNow + mSettings.busyPause;
+    mNextReport = std::min(mNextReport, inNow + mOptions.reportLag);
+    mOrderNotBefore = inNow + mOptions.busyDelay;
     if (inOutcome == engines::order_outcome::conflict && repeated) {
         // The first of the two may have been accepted, or another order is under way.
         mUnresolved = order;
         ++mRevision;
         return;
     }
-    settled(order, false, inNow);
+    finishOrder(order, false, inNow);
 }
 
-void engine_controller::settled(const engines::engine_order &inOrder, bool inDone,
-                                core::time_point inNow)
+void engine_controller::finishOrder(const engines::engine_order &inOrder, bool inDone,
+                                    core::time_point inNow)
 {
     ++mRevision;
     if (inOrder.adapter.empty())
@@ -292,7 +293,7 @@
     if (inOrder.kind == operation::unload) {
         mSlots.unloadEnded(key, inDone, inNow);
         if (inDone)
-            noteUnloaded(key);
+            recordUnloaded(key);
         return;
     }
     if (!inDone) {
@@ -307,23 +308,23 @@
     mArriving[key] = {inOrder.version, readyAt};
 }
 
-void engine_controller::noteUnloaded(const std::string &inKey)
+void engine_controller::recordUnloaded(const std::string &inKey)
 {
     std::erase(mWarm, inKey);
     mWarm.push_back(inKey);
-    if (mWarm.size() > mSettings.warmAdapters)
+    if (mWarm.size() > mOptions.warmAdapters)
         mWarm.erase(mWarm.begin());
 }
 
 core::duration engine_controller::loadTime(const std::string &inKey) const
 {
     const auto scaled = [this](double inFactor) {
-        return std::chrono::duration_cast<core::duration>(mSettings.adapterLoad * inFactor);
+        return std::chrono::duration_cast<core::duration>(mOptions.adapterLoad * inFactor);
     };
     if (isWarm(inKey))
-        return scaled(mSettings.warmLoad);
-    const double underWay = arriving() + 1 + mFleet.arrivingElsewhere;
-    return scaled(std::clamp(underWay / mFleet.atFullSpeed, 1.0, mSettings.maxSlowDown));
+        return scaled(mOptions.warmLoad);
+    const double inFlight = arriving() + 1 + mLoadState.arrivingElsewhere;
+    return scaled(std::clamp(inFlight / mLoadState.fullSpeedLoads, 1.0, mOptions.maxSlowDown));
 }
 
 bool engine_controller::isWarm(const std::string &inKey) const
@@ -358,35 +359,36 @@
         ++mRevision;
         entry = mArriving.erase(entry);
     }
-    std::erase_if(mUsed, [&](const auto &inEntry) { return inNow - inEntry.second > cUseMemory; });
+    std::erase_if(mUsed,
+                  [&](const auto &inEntry) { return inNow - inEntry.second > cUseRetention; });
     std::erase_if(mRunning,
-                  [&](const auto &inEntry) { return inNow - inEntry.second.at > cUseMemory; });
+                  [&](const auto &inEntry) { return inNow - inEntry.second.at > cUseRetention; });
     mSlots.prune(inNow);
 }
 
-bool engine_controller::wantsReport(core::time_point inNow) const
+bool engine_controller::reportDue(core::time_point inNow) const
 {
-    return !mReportUnderWay && inNow >= mNextReport;
+    return !mReportInFlight && inNow >= mNextReport;
 }
 
 void engine_controller::reportStarted(core::time_point inNow)
 {
-    mReportUnderWay = true;
+    mReportInFlight = true;
     mReportStartedAt = inNow;
 }
 
 void engine_controller::reportEnded(const std::optional<engines::engine_report> &inReport,
                                     core::time_point inNow)
 {
-    mReportUnderWay = false;
-    mNextReport = inNow + (inReport && inSync() ? mSettings.reportPeriod : mSettings.resyncPeriod);
+    mReportInFlight = false;
+    mNextReport = inNow + (inReport && inSync() ? mOptions.reportPeriod : mOptions.resyncPeriod);
     if (!inReport || inReport->startedMs != mEntry.startedMs)
         return;
-    const core::time_point described = mReportStartedAt - mSettings.reportLag;
+    const core::time_point described = mReportStartedAt - mOptions.reportLag;
     // While an order is under way, or one was given since, the report may be older than it.
-    if (mUnderWay || described < mLastChangeAt) {
+    if (mInFlight || described < mLastChangeAt) {
         if (mOrders != inReport->orders)
-            mNextReport = inNow + mSettings.resyncPeriod;
+            mNextReport = inNow + mOptions.resyncPeriod;
         return;
     }
     mOrders = inReport->orders;
@@ -406,7 +408,7 @@
             arriving.push_back(engines::adapterKey(model.name, adapter.name));
             mArriving.try_emplace(
                 arriving.back(),
-                engines::arriving_adapter{adapter.version, inNow + mSettings.adapterLoad / 2});
+                engines::arriving_adapter{adapter.version, inNow + mOptions.adapterLoad / 2});
         }
     }
     if (mUnresolved) {
@@ -416,7 +418,7 @@
                     || std::ranges::find(arriving, key) != arriving.end(),
                 inNow);
         mUnresolved.reset();
-        mNextReport = inNow + mSettings.reportPeriod;
+        mNextReport = inNow + mOptions.reportPeriod;
     }
     mSlots.reported(resident, arriving, described, inNow);
     std::erase_if(mArriving, [&](const auto &inEntry) {
--- a/corneltally/orders/engine_controller.h
+++ b/corneltally/orders/engine_controller.h
@@ -23,7 +23,7 @@
     /// Adapters on their way to all other engines.
     int arrivingElsewhere = 0;
     /// Loads that the store carries at full speed.
-    double atFullSpeed = 8;
+    double fullSpeedLoads = 8;
     /// Whether another adapter may be fetched from the store.
     bool mayFetch = true;
 
@@ -44,23 +44,23 @@
     /// Adapters that an engine keeps at hand after they were unloaded.
     std::size_t warmAdapters = 40;
     /// Pause before a request may try an adapter again that was expected but is not there.
-    core::duration lateLoadPause = std::chrono::milliseconds(80);
+    core::duration lateLoadDelay = std::chrono::milliseconds(80);
     /// Adapters that may be on their way to one engine at the same time (platform's pages: 4).
     int maxArriving = 4;
     /// An instance's word on the adapters that it runs on counts for this long; heartbeats repeat
     /// it five times a second.
-    core::duration useTime = std::chrono::milliseconds(1500);
+    core::duration maxUseAge = std::chrono::milliseconds(1500);
     /// A version that was named is loaded over an adapter in use only after this time: the engine
     /// takes no other order until the adapter's requests have ended. The operator's bound is 5 s.
-    core::duration replacementPatience = std::chrono::milliseconds(2500);
+    core::duration replacementDelay = std::chrono::milliseconds(2500);
     /// Pause after the engine refused an order because another one is under way.
-    core::duration busyPause = std::chrono::milliseconds(100);
+    core::duration busyDelay = std::chrono::milliseconds(100);
     /// Demand that was not renewed for this long is dropped.
-    core::duration demandAge = std::chrono::milliseconds(1500);
+    core::duration maxDemandAge = std::chrono::milliseconds(1500);
     /// Lag of reports (platform's pages: some hundred ms).
     core::duration reportLag = std::chrono::milliseconds(400);
     /// Pause before an order without answer is given again.
-    core::duration repeatPause = std::chrono::milliseconds(20);
+    core::duration repeatDelay = std::chrono::milliseconds(20);
     /// Reports are asked for this often, and more often after a surprise.
     core::duration reportPeriod = std::chrono::seconds(2);
     core::duration resyncPeriod = std::chrono::milliseconds(150);
@@ -72,32 +72,32 @@
 class engine_controller
 {
 public:
-    engine_controller(std::string inEngine, controller_options inSettings);
+    engine_controller(std::string inEngine, controller_options inOptions);
 
     /// The engine's entry and profile; a new start forgets all.
-    void describe(const engines::endpoint_entry &inEntry, const routing::engine_profile &inProfile,
-                  core::time_point inNow);
+    void configure(const engines::endpoint_entry &inEntry, const routing::engine_profile &inProfile,
+                   core::time_point inNow);
 
     /// A request needs an adapter.
-    void asked(const std::string &inModel, const std::string &inAdapter, std::uint64_t inVersion,
-               double inTokens, core::time_point inNow);
+    void adapterRequested(const std::string &inModel, const std::string &inAdapter,
+                          std::uint64_t inVersion, double inTokens, core::time_point inNow);
 
     /// A request was sent for an adapter.
-    void used(const std::string &inKey, core::time_point inNow);
+    void adapterUsed(const std::string &inKey, core::time_point inNow);
 
     /// An instance's first request on an adapter began, or its last one ended.
-    void running(const std::string &inInstance, const std::string &inKey, bool inRunning,
-                 core::time_point inNow);
-    /// All adapters that an instance runs on.
-    void runningSet(const std::string &inInstance, std::set<std::string, std::less<>> inKeys,
+    void setRunning(const std::string &inInstance, const std::string &inKey, bool inRunning,
                     core::time_point inNow);
+    /// All adapters that an instance runs on.
+    void setRunningAdapters(const std::string &inInstance,
+                            std::set<std::string, std::less<>> inKeys, core::time_point inNow);
 
     /// The engine refused a request because the adapter is not there: its load takes longer than
     /// expected, or the engine lost it. It keeps its place until a report shows which.
-    void missing(const std::string &inKey, core::time_point inNow);
+    void adapterMissing(const std::string &inKey, core::time_point inNow);
 
     /// What the other engines have on their way, and whether a load from the store may begin.
-    void setFleet(const load_state &inFleet) { mFleet = inFleet; }
+    void setLoadState(const load_state &inState) { mLoadState = inState; }
 
     /// The operator named a version of an adapter: a resident older one has to be replaced.
     void versionNamed(const std::string &inKey, std::uint64_t inVersion, core::time_point inNow);
@@ -108,7 +108,7 @@
                     core::time_point inNow);
 
     /// Whether a report should be asked for now; reportEnded() follows.
-    bool wantsReport(core::time_point inNow) const;
+    bool reportDue(core::time_point inNow) const;
     void reportStarted(core::time_point inNow);
     void reportEnded(const std::optional<engines::engine_report> &inReport, core::time_point inNow);
 
@@ -140,7 +140,7 @@
         core::time_point first;
         core::time_point last;
     };
-    struct under_way
+    struct in_flight_order
     {
         engines::engine_order order;
         bool sent = false;
@@ -164,16 +164,16 @@
     std::optional<engines::engine_order> replacementOrder(core::time_point inNow);
     engines::engine_order makeOrder(engines::engine_order::operation inKind,
                                     std::string_view inKey) const;
-    void settled(const engines::engine_order &inOrder, bool inDone, core::time_point inNow);
+    void finishOrder(const engines::engine_order &inOrder, bool inDone, core::time_point inNow);
     bool isRunning(const std::string &inKey, core::time_point inNow) const;
     void resolve(const engines::engine_order &inOrder, bool inPresent, core::time_point inNow);
-    void noteUnloaded(const std::string &inKey);
+    void recordUnloaded(const std::string &inKey);
     core::duration loadTime(const std::string &inKey) const;
     bool isWarm(const std::string &inKey) const;
     std::uint64_t namedVersion(const std::string &inKey) const;
 
     std::string mEngine;
-    controller_options mSettings;
+    controller_options mOptions;
     engines::endpoint_entry mEntry;
     routing::engine_profile mProfile;
     scheduling::adapter_slots mSlots;
@@ -186,13 +186,13 @@
     std::vector<std::string> mModels;
     /// Adapters that were unloaded, the latest last.
     std::vector<std::string> mWarm;
-    load_state mFleet;
+    load_state mLoadState;
     std::optional<std::uint64_t> mOrders;
-    std::optional<under_way> mUnderWay;
+    std::optional<in_flight_order> mInFlight;
     /// An order whose effect only a report can show, since it was sent twice.
     std::optional<engines::engine_order> mUnresolved;
     core::time_point mOrderNotBefore;
-    bool mReportUnderWay = false;
+    bool mReportInFlight = false;
     core::time_point mReportStartedAt;
     core::time_point mNextReport;
     /// When an order last may have changed the engine.
--- a/corneltally/orders/order_service.cpp
+++ b/corneltally/orders/order_service.cpp
@@ -187,7 +187,7 @@
     for (const auto &[engine, domain] : knownEngines()) {
         const bool holds = mClaims.holds(engine);
         if (holds && !mHeld.contains(engine)) {
-            mHeld.emplace(engine, held{engine_controller(engine, mOptions.keeper)});
+            mHeld.emplace(engine, held{engine_controller(engine, mOptions.controller)});
             describe(engine);
         } else if (!holds) {
             mHeld.erase(engine);
@@ -221,10 +221,10 @@
     const routing::engine_profile *profile = profileOf(entry->second);
     if (profile == nullptr)
         return;
-    engine_controller &keeper = found->second.keeper;
-    keeper.describe(entry->second, *profile, core::boot_clock::now());
+    engine_controller &controller = found->second.controller;
+    controller.configure(entry->second, *profile, core::boot_clock::now());
     for (const auto &[key, version] : mNamedVersions)
-        keeper.versionNamed(key, version, core::boot_clock::now());
+        controller.versionNamed(key, version, core::boot_clock::now());
 }
 
 void order_service::endpointChanged(const engines::endpoint_entry &inEntry)
@@ -246,7 +246,7 @@
     std::uint64_t &known = mNamedVersions[key];
     known = std::max(known, inNamed.version);
     for (auto &[engine, state] : mHeld) {
-        state.keeper.versionNamed(key, known, core::boot_clock::now());
+        state.controller.versionNamed(key, known, core::boot_clock::now());
         pump(engine, state, core::boot_clock::now());
     }
 }
@@ -307,23 +307,23 @@
 {
     const auto found = mHeld.find(inWanted.endpoint);
     const core::time_point now = core::boot_clock::now();
-    if (found == mHeld.end() || found->second.keeper.entry().startedMs != inWanted.startedMs) {
+    if (found == mHeld.end() || found->second.controller.entry().startedMs != inWanted.startedMs) {
         core::logEvent(core::log_level::info, "load_not_mine",
                        {{"endpoint", inWanted.endpoint}, {"from", inFrom}});
         return;
     }
-    found->second.keeper.asked(inWanted.model, inWanted.adapter, inWanted.version, inWanted.tokens,
-                               now);
+    found->second.controller.adapterRequested(inWanted.model, inWanted.adapter, inWanted.version,
+                                              inWanted.tokens, now);
     pump(inWanted.endpoint, found->second, now);
 }
 
 void order_service::missing(const fleet::adapter_missing &inMissing)
 {
     const auto found = mHeld.find(inMissing.endpoint);
-    if (found == mHeld.end() || found->second.keeper.entry().startedMs != inMissing.startedMs)
+    if (found == mHeld.end() || found->second.controller.entry().startedMs != inMissing.startedMs)
         return;
     const core::time_point now = core::boot_clock::now();
-    found->second.keeper.missing(inMissing.adapter, now);
+    found->second.controller.adapterMissing(inMissing.adapter, now);
     pump(inMissing.endpoint, found->second, now);
 }
 
@@ -335,24 +335,24 @@
     const std::set<engines::adapter_digest> running(inRunning.begin(), inRunning.end());
     for (auto &[engine, state] : mHeld) {
         std::set<std::string, std::less<>> runningHere;
-        for (const std::string &adapter : state.keeper.knownAdapters()) {
+        for (const std::string &adapter : state.controller.knownAdapters()) {
             const engines::adapter_digest digest = engines::digestOf(engine, adapter);
             if (std::ranges::find(inSent, digest) != inSent.end())
-                state.keeper.used(adapter, now);
+                state.controller.adapterUsed(adapter, now);
             if (running.contains(digest))
                 runningHere.insert(adapter);
         }
-        state.keeper.runningSet(inInstance, std::move(runningHere), now);
+        state.controller.setRunningAdapters(inInstance, std::move(runningHere), now);
     }
 }
 
 void order_service::running(const std::string &inInstance, const fleet::adapter_running &inChange)
 {
     const auto found = mHeld.find(inChange.endpoint);
-    if (found == mHeld.end() || found->second.keeper.entry().startedMs != inChange.startedMs)
+    if (found == mHeld.end() || found->second.controller.entry().startedMs != inChange.startedMs)
         return;
     const core::time_point now = core::boot_clock::now();
-    found->second.keeper.running(inInstance, inChange.adapter, inChange.running, now);
+    found->second.controller.setRunning(inInstance, inChange.adapter, inChange.running, now);
     // A place that can be made free may be what a request waits for.
     if (!inChange.running)
         pump(inChange.endpoint, found->second, now);
@@ -365,7 +365,7 @@
     claimEngines(now);
     for (auto &[engine, state] : mHeld) {
         pump(engine, state, now);
-        if (state.keeper.wantsReport(now) && state.keeper.entry().address.port != 0)
+        if (state.controller.reportDue(now) && state.controller.entry().address.port != 0)
             askReport(engine, state, now);
     }
 }
@@ -375,7 +375,7 @@
     std::size_t count = 0;
     for (const auto &[engine, state] : mHeld) {
         if (engine != inEngine)
-            count += state.keeper.adapters().arriving.size();
+            count += state.controller.adapters().arriving.size();
     }
     for (const auto &[engine, adapters] : mElsewhere) {
         if (!mHeld.contains(engine))
@@ -393,23 +393,23 @@
 load_state order_service::loadsOf(const std::string &inEngine, core::time_point inNow) const
 {
     load_state loads{.arrivingElsewhere = arrivingElsewhere(inEngine, inNow)};
-    loads.atFullSpeed = std::max(cLeastParallelLoads,
-                                 cParallelLoadsPerEngine * static_cast<double>(mEntries.size()));
+    loads.fullSpeedLoads = std::max(cLeastParallelLoads,
+                                    cParallelLoadsPerEngine * static_cast<double>(mEntries.size()));
     int own = 0;
     for (const auto &[engine, state] : mHeld)
-        own += state.keeper.arriving();
-    const int all = loads.arrivingElsewhere + mHeld.at(inEngine).keeper.arriving();
-    const double share = loads.atFullSpeed / static_cast<double>(mLive.size() + 1);
-    loads.mayFetch = all < loads.atFullSpeed || own < std::floor(share);
+        own += state.controller.arriving();
+    const int all = loads.arrivingElsewhere + mHeld.at(inEngine).controller.arriving();
+    const double share = loads.fullSpeedLoads / static_cast<double>(mLive.size() + 1);
+    loads.mayFetch = all < loads.fullSpeedLoads || own < std::floor(share);
     return loads;
 }
 
 void order_service::pump(const std::string &inEngine, held &ioHeld, core::time_point inNow)
 {
-    ioHeld.keeper.advance(inNow);
+    ioHeld.controller.advance(inNow);
     if (mClaims.mayOrder(inEngine, inNow)) {
-        ioHeld.keeper.setFleet(loadsOf(inEngine, inNow));
-        if (const auto order = ioHeld.keeper.nextOrder(inNow))
+        ioHeld.controller.setLoadState(loadsOf(inEngine, inNow));
+        if (const auto order = ioHeld.controller.nextOrder(inNow))
             sendOrder(inEngine, *order);
     }
     publish(inEngine, ioHeld, inNow);
@@ -421,7 +421,7 @@
     order.holder = mOptions.self.instance;
     order.fence = mClaims.find(inEngine)->fence;
     const core::time_point sentAt = core::boot_clock::now();
-    const http1::address target = mHeld.at(inEngine).keeper.entry().address;
+    const http1::address target = mHeld.at(inEngine).controller.entry().address;
     mFetcher.fetch(platform::orderRequest(target, inEngine, order),
                    [this, inEngine, inOrder, sentAt](const http1::fetch_result &inResult) {
                        orderEnded(inEngine, inOrder, platform::decodeOrderOutcome(inResult),
@@ -446,14 +446,14 @@
     const auto found = mHeld.find(inEngine);
     if (found == mHeld.end())
         return;
-    found->second.keeper.orderEnded(inOrder, inOutcome, now);
+    found->second.controller.orderEnded(inOrder, inOutcome, now);
     pump(inEngine, found->second, now);
 }
 
 void order_service::askReport(const std::string &inEngine, held &ioHeld, core::time_point inNow)
 {
-    ioHeld.keeper.reportStarted(inNow);
-    mFetcher.fetch(platform::reportRequest(ioHeld.keeper.entry().address),
+    ioHeld.controller.reportStarted(inNow);
+    mFetcher.fetch(platform::reportRequest(ioHeld.controller.entry().address),
                    [this, inEngine](const http1::fetch_result &inResult) {
                        const auto found = mHeld.find(inEngine);
                        if (found == mHeld.end())
@@ -461,9 +461,9 @@
                        const core::time_point now = core::boot_clock::now();
                        const auto report = platform::decodeReport(inResult);
                        if (report)
-                           found->second.keeper.reportEnded(*report, now);
+                           found->second.controller.reportEnded(*report, now);
                        else
-                           found->second.keeper.reportEnded(std::nullopt, now);
+                           found->second.controller.reportEnded(std::nullopt, now);
                        mMetrics.count(report ? "reports_total{outcome=\"read\"}"
                                              : "reports_total{outcome=\"failed\"}");
                        pump(inEngine, found->second, now);
@@ -472,13 +472,13 @@
 
 void order_service::publish(const std::string &inEngine, held &ioHeld, core::time_point inNow)
 {
-    const engine_controller &keeper = ioHeld.keeper;
+    const engine_controller &controller = ioHeld.controller;
     fleet::engine_state state{.endpoint = inEngine,
-                              .startedMs = keeper.entry().startedMs,
-                              .ready = mClaims.mayOrder(inEngine, inNow) && keeper.inSync(),
-                              .adapters = keeper.adapters(),
-                              .models = keeper.models(),
-                              .queued = keeper.queued()};
+                              .startedMs = controller.entry().startedMs,
+                              .ready = mClaims.mayOrder(inEngine, inNow) && controller.inSync(),
+                              .adapters = controller.adapters(),
+                              .models = controller.models(),
+                              .queued = controller.queued()};
     if (ioHeld.published == state && inNow - ioHeld.publishedAt < cRepeatPeriod)
         return;
     ioHeld.published = state;
--- a/corneltally/orders/order_service.h
+++ b/corneltally/orders/order_service.h
@@ -32,7 +32,7 @@
     fleet::claim self;
     std::string failureDomain;
     fleet::claim_options claims;
-    controller_options keeper;
+    controller_options controller;
 };
 
 /// Gives the orders to the engines that this instance holds: claims engines, keeps their adapters,
@@ -54,7 +54,7 @@
 private:
     struct held
     {
-        engine_controller keeper;
+        engine_controller controller;
         std::optional<fleet::engine_state> published;
         core::time_point publishedAt;
     };
--- a/tests/unit/orders_engine_keeper_test.cpp
+++ b/tests/unit/orders_engine_keeper_test.cpp
@@ -22,15 +22,16 @@
                                        .adapterSlots = 2,
                                        .models = {{"base", 65'000, 3000, 12}}};
 
-struct kept_engine
+struct controlled_engine
 {
-    orders::engine_controller keeper{"e1", {}};
+    orders::engine_controller controller{"e1", {}};
     core::time_point now = cStart;
     std::uint64_t accepted = 3;
 
-    kept_engine()
+    controlled_engine()
     {
-        keeper.describe({.id = "e1", .address = {"10.0.0.1", 80}, .startedMs = 1}, cProfile, now);
+        controller.configure({.id = "e1", .address = {"10.0.0.1", 80}, .startedMs = 1}, cProfile,
+                             now);
         now += 1s;
         report({}, {});
     }
@@ -38,25 +39,26 @@
     void report(std::vector<engines::held_adapter> inResident,
                 std::vector<engines::held_adapter> inArriving)
     {
-        keeper.reportStarted(now);
-        keeper.reportEnded(engines::engine_report{.startedMs = 1,
-                                                  .orders = accepted,
-                                                  .models = {{"base", 1, std::move(inResident)}},
-                                                  .arriving = {{"base", 1, std::move(inArriving)}}},
-                           now);
+        controller.reportStarted(now);
+        controller.reportEnded(
+            engines::engine_report{.startedMs = 1,
+                                   .orders = accepted,
+                                   .models = {{"base", 1, std::move(inResident)}},
+                                   .arriving = {{"base", 1, std::move(inArriving)}}},
+            now);
     }
 
     std::optional<engine_order> next()
     {
-        keeper.advance(now);
-        return keeper.nextOrder(now);
+        controller.advance(now);
+        return controller.nextOrder(now);
     }
 
     void end(const engine_order &inOrder, order_outcome inOutcome)
     {
         if (inOutcome == order_outcome::accepted || inOutcome == order_outcome::holds)
             ++accepted;
-        keeper.orderEnded(inOrder, inOutcome, now);
+        controller.orderEnded(inOrder, inOutcome, now);
     }
 
     /// Lets all loads end and the adapters stay for the shortest time.
@@ -64,11 +66,14 @@
     {
         for (int step = 0; step < 2; ++step) {
             now += 300ms;
-            keeper.advance(now);
+            controller.advance(now);
         }
     }
 
-    void ask(const std::string &inAdapter) { keeper.asked("base", inAdapter, 0, 1000, now); }
+    void ask(const std::string &inAdapter)
+    {
+        controller.adapterRequested("base", inAdapter, 0, 1000, now);
+    }
 
     void load(const std::string &inAdapter)
     {
@@ -86,10 +91,10 @@
 
 TEST_CASE("an adapter is there after its load time, and what is on its way takes a place")
 {
-    kept_engine engine;
+    controlled_engine engine;
     engine.load("a1");
-    CHECK(engine.keeper.adapters().resident.empty());
-    CHECK(engine.keeper.adapters().arriving.contains("base/a1"));
+    CHECK(engine.controller.adapters().resident.empty());
+    CHECK(engine.controller.adapters().arriving.contains("base/a1"));
     engine.load("a2");
     engine.ask("a3");
     // Both places are taken by loads that are on their way.
@@ -102,15 +107,15 @@
 
 TEST_CASE("a refused request does not free the place of an adapter whose load is late")
 {
-    kept_engine engine;
+    controlled_engine engine;
     engine.load("a1");
     engine.load("a2");
     engine.now += 300ms;
     engine.next();
-    REQUIRE(engine.keeper.adapters().resident.size() == 2);
-    engine.keeper.missing("base/a1", engine.now);
-    CHECK_FALSE(engine.keeper.adapters().resident.contains("base/a1"));
-    CHECK(engine.keeper.adapters().arriving.contains("base/a1"));
+    REQUIRE(engine.controller.adapters().resident.size() == 2);
+    engine.controller.adapterMissing("base/a1", engine.now);
+    CHECK_FALSE(engine.controller.adapters().resident.contains("base/a1"));
+    CHECK(engine.controller.adapters().arriving.contains("base/a1"));
     engine.ask("a3");
     const auto order = engine.next();
     CHECK((!order || order->kind == engine_order::operation::unload));
@@ -118,18 +123,18 @@
 
 TEST_CASE("an adapter in use is not unloaded")
 {
-    kept_engine engine;
+    controlled_engine engine;
     engine.load("a1");
     engine.load("a2");
     engine.settle();
-    engine.keeper.running("x", "base/a1", true, engine.now);
-    engine.keeper.running("y", "base/a1", true, engine.now);
-    engine.keeper.running("y", "base/a2", true, engine.now);
+    engine.controller.setRunning("x", "base/a1", true, engine.now);
+    engine.controller.setRunning("y", "base/a1", true, engine.now);
+    engine.controller.setRunning("y", "base/a2", true, engine.now);
     engine.ask("a3");
     CHECK_FALSE(engine.next());
-    engine.keeper.running("x", "base/a1", false, engine.now);
+    engine.controller.setRunning("x", "base/a1", false, engine.now);
     CHECK_FALSE(engine.next());
-    engine.keeper.running("y", "base/a2", false, engine.now);
+    engine.controller.setRunning("y", "base/a2", false, engine.now);
     const auto order = engine.next();
     REQUIRE(order);
     CHECK(order->adapter == "a2");
@@ -138,11 +143,11 @@
 
 TEST_CASE("the word of an instance that is not heard any more does not keep an adapter")
 {
-    kept_engine engine;
+    controlled_engine engine;
     engine.load("a1");
     engine.load("a2");
     engine.settle();
-    engine.keeper.runningSet("x", {"base/a1", "base/a2"}, engine.now);
+    engine.controller.setRunningAdapters("x", {"base/a1", "base/a2"}, engine.now);
     engine.now += 2s;
     engine.ask("a3");
     CHECK(engine.next());
@@ -150,7 +155,7 @@
 
 TEST_CASE("an order without answer is given again with the same number, and nothing else before")
 {
-    kept_engine engine;
+    controlled_engine engine;
     engine.ask("a1");
     const auto first = engine.next();
     REQUIRE(first);
@@ -165,7 +170,7 @@
 
 TEST_CASE("a repeated order that meets a conflict is settled by a newer report only")
 {
-    kept_engine engine;
+    controlled_engine engine;
     engine.ask("a1");
     const auto order = engine.next();
     REQUIRE(order);
@@ -173,26 +178,26 @@
     engine.now += 200ms;
     REQUIRE(engine.next());
     engine.end(*order, order_outcome::conflict);
-    CHECK_FALSE(engine.keeper.inSync());
+    CHECK_FALSE(engine.controller.inSync());
     // Nothing says that the adapter is there.
     engine.now += 300ms;
     engine.next();
-    CHECK(engine.keeper.adapters().resident.empty());
-    CHECK(engine.keeper.adapters().arriving.empty());
+    CHECK(engine.controller.adapters().resident.empty());
+    CHECK(engine.controller.adapters().arriving.empty());
     ++engine.accepted;
     engine.now += 1s;
     engine.report({{"a1", 1}}, {});
-    CHECK(engine.keeper.inSync());
-    CHECK(engine.keeper.adapters().resident.contains("base/a1"));
+    CHECK(engine.controller.inSync());
+    CHECK(engine.controller.adapters().resident.contains("base/a1"));
 }
 
 TEST_CASE("a conflict says that another order is under way, not that the load has begun")
 {
-    kept_engine engine;
+    controlled_engine engine;
     engine.load("a1");
     engine.now += 300ms;
     engine.next();
-    engine.keeper.versionNamed("base/a1", 2, engine.now);
+    engine.controller.versionNamed("base/a1", 2, engine.now);
     engine.ask("a1");
     engine.now += 3s;
     const auto order = engine.next();
@@ -201,14 +206,14 @@
     engine.end(*order, order_outcome::conflict);
     engine.now += 300ms;
     engine.next();
-    const auto adapters = engine.keeper.adapters();
+    const auto adapters = engine.controller.adapters();
     const auto found = adapters.resident.find("base/a1");
     CHECK((found == adapters.resident.end() || found->second < 2));
 }
 
 TEST_CASE("a wrong count of accepted orders is corrected by a report, while orders are refused")
 {
-    kept_engine engine;
+    controlled_engine engine;
     engine.load("a1");
     // The engine said "accepted", but what was asked for held already: the count did not advance.
     --engine.accepted;
@@ -220,7 +225,7 @@
             inStep = order->expectedOrders == engine.accepted;
             engine.end(*order, inStep ? order_outcome::accepted : order_outcome::conflict);
         }
-        if (engine.keeper.wantsReport(engine.now))
+        if (engine.controller.reportDue(engine.now))
             engine.report({{"a1", 1}}, {});
     }
     CHECK(inStep);
@@ -228,17 +233,17 @@
 
 TEST_CASE("a version that was named replaces an adapter in use only when time presses")
 {
-    kept_engine engine;
+    controlled_engine engine;
     engine.load("a1");
     engine.now += 300ms;
     engine.next();
-    engine.keeper.versionNamed("base/a1", 2, engine.now);
+    engine.controller.versionNamed("base/a1", 2, engine.now);
     const core::time_point named = engine.now;
     std::optional<engine_order> order;
     while (!order && engine.now < named + 5s) {
         engine.now += 100ms;
-        engine.keeper.runningSet("x", {"base/a1"}, engine.now);
-        engine.keeper.asked("base", "a1", 2, 100, engine.now);
+        engine.controller.setRunningAdapters("x", {"base/a1"}, engine.now);
+        engine.controller.adapterRequested("base", "a1", 2, 100, engine.now);
         order = engine.next();
     }
     REQUIRE(order);
@@ -249,7 +254,7 @@
 
 TEST_CASE("an engine that was unloaded recently gets its adapter back faster")
 {
-    kept_engine engine;
+    controlled_engine engine;
     engine.load("a1");
     engine.load("a2");
     engine.settle();
@@ -269,18 +274,18 @@
     REQUIRE(back);
     CHECK(back->adapter == unload->adapter);
     engine.end(*back, order_outcome::accepted);
-    const auto adapters = engine.keeper.adapters();
+    const auto adapters = engine.controller.adapters();
     REQUIRE(adapters.arriving.contains("base/" + back->adapter));
     CHECK(adapters.arriving.at("base/" + back->adapter).readyAt - engine.now <= 25ms);
 }
 
 TEST_CASE("many loads in a large fleet are not taken for an overload of the weight store")
 {
-    const auto loadTime = [](int inElsewhere, double inAtFullSpeed) {
-        kept_engine engine;
-        engine.keeper.setFleet({inElsewhere, inAtFullSpeed, true});
+    const auto loadTime = [](int inElsewhere, double inFullSpeedLoads) {
+        controlled_engine engine;
+        engine.controller.setLoadState({inElsewhere, inFullSpeedLoads, true});
         engine.load("a1");
-        return engine.keeper.adapters().arriving.at("base/a1").readyAt - engine.now;
+        return engine.controller.adapters().arriving.at("base/a1").readyAt - engine.now;
     };
     CHECK(loadTime(0, 8) == 250ms);
     CHECK(loadTime(15, 8) == 500ms);
@@ -293,7 +298,7 @@
 // them slower, so that each request waits for the loads of all others.
 TEST_CASE("loads from the store begin one after the other, those of adapters at hand at once")
 {
-    kept_engine engine;
+    controlled_engine engine;
     engine.load("a1");
     engine.load("a2");
     engine.settle();
@@ -303,7 +308,7 @@
     REQUIRE(unload);
     REQUIRE(unload->kind == engine_order::operation::unload);
     engine.end(*unload, order_outcome::holds);
-    engine.keeper.setFleet({40, 31.5, false});
+    engine.controller.setLoadState({40, 31.5, false});
     CHECK_FALSE(engine.next());
     // An adapter at hand takes nothing from the store, and does not wait behind one that does.
     engine.ask(unload->adapter);
@@ -317,18 +322,18 @@
     engine.ask("a3");
     // No room is made before the load may begin.
     CHECK_FALSE(engine.next());
-    engine.keeper.setFleet({10, 31.5, true});
+    engine.controller.setLoadState({10, 31.5, true});
     CHECK(engine.next());
 }
 
 TEST_CASE("a new start of the engine forgets adapters and order numbers")
 {
-    kept_engine engine;
+    controlled_engine engine;
     engine.load("a1");
-    engine.keeper.describe({.id = "e1", .address = {"10.0.0.1", 80}, .startedMs = 2}, cProfile,
-                           engine.now);
-    CHECK_FALSE(engine.keeper.inSync());
-    CHECK(engine.keeper.adapters().arriving.empty());
+    engine.controller.configure({.id = "e1", .address = {"10.0.0.1", 80}, .startedMs = 2}, cProfile,
+                                engine.now);
+    CHECK_FALSE(engine.controller.inSync());
+    CHECK(engine.controller.adapters().arriving.empty());
     engine.ask("a2");
     CHECK_FALSE(engine.next());
 }
