--- a/corneltally/forwarding/instance.cpp
+++ b/corneltally/forwarding/instance.cpp
@@ -114,7 +114,7 @@
                            {{"seconds", std::chrono::duration<double>(inGap).count()}});
             mMetrics.count("pauses_total");
             mFront.paused();
-            mOrders.paused();
+            mOrders.processPaused();
         });
         core::logEvent(core::log_level::info, "started",
                        {{"incarnation", mIncarnation},
--- a/corneltally/orders/order_service.cpp
+++ b/corneltally/orders/order_service.cpp
@@ -20,24 +20,24 @@
 constexpr core::duration cTickPeriod = std::chrono::milliseconds(25);
 /// Adapters on their way over all engines beyond which loads slow down in proportion: the greater
 /// of a number and a share of the engines (deployment sheets: 8 for 12 engines, 40 and 32 for 90).
-constexpr double cLeastParallelLoads = 8;
+constexpr double cMinParallelLoads = 8;
 constexpr double cParallelLoadsPerEngine = 0.35;
 /// Pause between two attempts to claim engines.
-constexpr core::duration cClaimPause = std::chrono::milliseconds(400);
+constexpr core::duration cClaimRetryDelay = std::chrono::milliseconds(400);
 /// Instances of a failure domain claim one after the other with this delay. Of two that append
 /// behind the same record one is refused, and each append wakes the reads of all instances.
-constexpr core::duration cClaimStep = std::chrono::milliseconds(100);
+constexpr core::duration cClaimDelayStep = std::chrono::milliseconds(100);
 /// Time for a look at the claims before another one is asked for. The store answers in some
 /// milliseconds, and while it is away each call to it is priced.
-constexpr core::duration cLookTime = std::chrono::milliseconds(600);
+constexpr core::duration cPollTimeout = std::chrono::milliseconds(600);
 /// Claims on engines that are gone are removed together with other claims, or after this time.
-constexpr core::duration cObsoleteTime = std::chrono::seconds(4);
+constexpr core::duration cObsoleteClaimDelay = std::chrono::seconds(4);
 /// While all other instances have said within this time that they hear this one, its right to
 /// order lasts for 11 s after a look, and its reads of the claims wait for the longer time. It
 /// leaves 7 s of orders when the store goes away.
-constexpr core::duration cHeardAge = std::chrono::milliseconds(1500);
-constexpr core::duration cCalmWait = std::chrono::milliseconds(4000);
-constexpr core::duration cShortWait = std::chrono::milliseconds(2200);
+constexpr core::duration cMaxLiveReportAge = std::chrono::milliseconds(1500);
+constexpr core::duration cLongPollWait = std::chrono::milliseconds(4000);
+constexpr core::duration cShortPollWait = std::chrono::milliseconds(2200);
 /// The state of an engine is repeated this often for instances that missed it.
 constexpr core::duration cRepeatPeriod = std::chrono::seconds(2);
 
@@ -81,12 +81,12 @@
     mRegistry.handle<catalog::fleet_topic_updated>(
         cName, [this](const catalog::fleet_topic_updated &inUpdate) { topicUpdated(inUpdate); });
     mRegistry.handle<catalog::fleet_topic_append_ended>(
-        cName, [this](const catalog::fleet_topic_append_ended &) { mAppendUnderWay = false; });
+        cName, [this](const catalog::fleet_topic_append_ended &) { mAppendInFlight = false; });
     mRegistry.handle<catalog::configuration_changed>(
         cName, [this](const catalog::configuration_changed &inChanged) {
             mTable = inChanged.table;
             for (auto &[engine, state] : mHeld)
-                describe(engine);
+                configureEngine(engine);
         });
     mRegistry.handle<catalog::adapter_version_named>(
         cName, [this](const catalog::adapter_version_named &inNamed) { versionNamed(inNamed); });
@@ -96,7 +96,7 @@
     mRegistry.handle<catalog::endpoint_removed>(cName,
                                                 [this](const catalog::endpoint_removed &inRemoved) {
                                                     if (!inRemoved.mayReturn)
-                                                        endpointGone(inRemoved.id);
+                                                        endpointRemoved(inRemoved.id);
                                                 });
     mRegistry.handle<catalog::endpoints_listed>(
         cName, [this](const catalog::endpoints_listed &inListed) {
@@ -104,7 +104,7 @@
                 return;
             for (const fleet::fleet_node &engine : knownEngines()) {
                 if (std::ranges::find(inListed.ids, engine.name) == inListed.ids.end())
-                    endpointGone(engine.name);
+                    endpointRemoved(engine.name);
             }
         });
     mRegistry.handle<fleet::instances_changed>(cName,
@@ -117,28 +117,28 @@
     mRegistry.handle<fleet::mesh_received>(cName, [this](const fleet::mesh_received &inReceived) {
         mClaims.messageReceived(inReceived.instance, core::boot_clock::now());
         if (const auto *request = std::get_if<fleet::load_wanted>(&inReceived.body))
-            wanted(*request, inReceived.instance);
+            loadRequested(*request, inReceived.instance);
         else if (const auto *report = std::get_if<fleet::adapter_missing>(&inReceived.body))
-            missing(*report);
+            adapterMissing(*report);
         else if (const auto *change = std::get_if<fleet::adapter_running>(&inReceived.body))
-            running(inReceived.instance, *change);
+            adapterRunning(inReceived.instance, *change);
         else if (const auto *state = std::get_if<fleet::engine_state>(&inReceived.body))
-            mElsewhere[state->endpoint] = state->adapters;
+            mRemoteAdapters[state->endpoint] = state->adapters;
         else if (const auto *beat = std::get_if<fleet::heartbeat>(&inReceived.body)) {
             if (beat->receiverLive)
                 mClaims.reportedLiveBy(inReceived.instance, core::boot_clock::now());
-            used(inReceived.instance, beat->adapterUses, beat->adaptersRunning);
+            adaptersUsed(inReceived.instance, beat->adapterUses, beat->adaptersRunning);
         }
     });
     mRegistry.handle<local_load_wanted>(
-        cName, [this](const local_load_wanted &inLocal) { wanted(inLocal.wanted, "self"); });
+        cName, [this](const local_load_wanted &inLocal) { loadRequested(inLocal.wanted, "self"); });
     mRegistry.handle<local_adapter_missing>(
-        cName, [this](const local_adapter_missing &inLocal) { missing(inLocal.missing); });
+        cName, [this](const local_adapter_missing &inLocal) { adapterMissing(inLocal.missing); });
     mRegistry.handle<local_adapter_uses>(cName, [this](const local_adapter_uses &inLocal) {
-        used(mOptions.self.instance, inLocal.sent, inLocal.running);
+        adaptersUsed(mOptions.self.instance, inLocal.sent, inLocal.running);
     });
     mRegistry.handle<local_adapter_running>(cName, [this](const local_adapter_running &inLocal) {
-        running(mOptions.self.instance, inLocal.change);
+        adapterRunning(mOptions.self.instance, inLocal.change);
     });
 }
 
@@ -147,7 +147,7 @@
     mTimer.startRepeating(cTickPeriod);
 }
 
-void order_service::paused()
+void order_service::processPaused()
 {
     // What the claims said before the pause is outdated; the next read confirms them anew.
     mClaims.invalidateRead();
@@ -187,8 +187,8 @@
     for (const auto &[engine, domain] : knownEngines()) {
         const bool holds = mClaims.holds(engine);
         if (holds && !mHeld.contains(engine)) {
-            mHeld.emplace(engine, held{engine_controller(engine, mOptions.controller)});
-            describe(engine);
+            mHeld.emplace(engine, held_engine{engine_controller(engine, mOptions.controller)});
+            configureEngine(engine);
         } else if (!holds) {
             mHeld.erase(engine);
         }
@@ -212,7 +212,7 @@
     return engines;
 }
 
-void order_service::describe(const std::string &inEngine)
+void order_service::configureEngine(const std::string &inEngine)
 {
     const auto entry = mEntries.find(inEngine);
     const auto found = mHeld.find(inEngine);
@@ -230,14 +230,14 @@
 void order_service::endpointChanged(const engines::endpoint_entry &inEntry)
 {
     mEntries.insert_or_assign(inEntry.id, inEntry);
-    describe(inEntry.id);
+    configureEngine(inEntry.id);
 }
 
-void order_service::endpointGone(const std::string &inId)
+void order_service::endpointRemoved(const std::string &inId)
 {
     mEntries.erase(inId);
     mHeld.erase(inId);
-    mElsewhere.erase(inId);
+    mRemoteAdapters.erase(inId);
 }
 
 void order_service::versionNamed(const catalog::adapter_version_named &inNamed)
@@ -247,24 +247,26 @@
     known = std::max(known, inNamed.version);
     for (auto &[engine, state] : mHeld) {
         state.controller.versionNamed(key, known, core::boot_clock::now());
-        pump(engine, state, core::boot_clock::now());
+        advanceEngine(engine, state, core::boot_clock::now());
     }
 }
 
 /// Looks at the claims are rare while nobody can claim engines of this instance.
-void order_service::tendLooks(core::time_point inNow)
+void order_service::updatePollWait(core::time_point inNow)
 {
-    const bool isCalm = mClaims.isReportedLiveByAll(cHeardAge, inNow);
-    if (isCalm == mCalm)
+    const bool isReportedLive = mClaims.isReportedLiveByAll(cMaxLiveReportAge, inNow);
+    if (isReportedLive == mReportedLiveByAll)
         return;
-    mCalm = isCalm;
-    mRegistry.post("catalog", catalog::fleet_topic_wait_changed{isCalm ? cCalmWait : cShortWait});
+    mReportedLiveByAll = isReportedLive;
+    mRegistry.post(
+        "catalog",
+        catalog::fleet_topic_wait_changed{isReportedLive ? cLongPollWait : cShortPollWait});
 }
 
 /// Delay of this instance's claims behind those of others of its failure domain.
 core::duration order_service::claimDelay() const
 {
-    return cClaimStep * std::ranges::count_if(mLive, [this](const fleet::fleet_node &inOther) {
+    return cClaimDelayStep * std::ranges::count_if(mLive, [this](const fleet::fleet_node &inOther) {
                return inOther.failureDomain == mOptions.failureDomain
                    && inOther.name < mOptions.self.instance;
            });
@@ -272,38 +274,38 @@
 
 void order_service::claimEngines(core::time_point inNow)
 {
-    if (mAppendUnderWay || !mTopicLoaded || inNow < mClaimNotBefore)
+    if (mAppendInFlight || !mTopicLoaded || inNow < mClaimNotBefore)
         return;
     const std::vector<fleet::fleet_node> existing = knownEngines();
     std::vector<store::record> records;
     for (const std::string &engine : mClaims.enginesToClaim(existing, mLive, inNow))
         records.push_back(fleet::claimRecord(engine, mOptions.self));
-    const core::duration delay = records.empty() ? cObsoleteTime : claimDelay();
+    const core::duration delay = records.empty() ? cObsoleteClaimDelay : claimDelay();
     for (const std::string &engine : mClaims.obsoleteClaims(existing))
         records.push_back(fleet::removedClaim(engine));
     if (records.empty()) {
-        mClaimWantedAt.reset();
+        mClaimDueAt.reset();
         return;
     }
-    if (!mClaimWantedAt)
-        mClaimWantedAt = inNow;
-    if (inNow - *mClaimWantedAt < delay)
+    if (!mClaimDueAt)
+        mClaimDueAt = inNow;
+    if (inNow - *mClaimDueAt < delay)
         return;
     if (!mClaims.hasFreshRead(inNow)) {
-        if (inNow - mLookAskedAt >= cLookTime) {
-            mLookAskedAt = inNow;
+        if (inNow - mPollRequestedAt >= cPollTimeout) {
+            mPollRequestedAt = inNow;
             mRegistry.post("catalog", catalog::fleet_topic_poll{});
         }
         return;
     }
-    mAppendUnderWay = true;
-    mClaimNotBefore = inNow + cClaimPause;
+    mAppendInFlight = true;
+    mClaimNotBefore = inNow + cClaimRetryDelay;
     core::logEvent(core::log_level::info, "claim_appended",
                    {{"records", records.size()}, {"expected_end", mTopicEnd}});
     mRegistry.post("catalog", catalog::fleet_topic_append{std::string(cName), records, mTopicEnd});
 }
 
-void order_service::wanted(const fleet::load_wanted &inWanted, std::string_view inFrom)
+void order_service::loadRequested(const fleet::load_wanted &inWanted, std::string_view inFrom)
 {
     const auto found = mHeld.find(inWanted.endpoint);
     const core::time_point now = core::boot_clock::now();
@@ -314,22 +316,22 @@
     }
     found->second.controller.adapterRequested(inWanted.model, inWanted.adapter, inWanted.version,
                                               inWanted.tokens, now);
-    pump(inWanted.endpoint, found->second, now);
+    advanceEngine(inWanted.endpoint, found->second, now);
 }
 
-void order_service::missing(const fleet::adapter_missing &inMissing)
+void order_service::adapterMissing(const fleet::adapter_missing &inMissing)
 {
     const auto found = mHeld.find(inMissing.endpoint);
     if (found == mHeld.end() || found->second.controller.entry().startedMs != inMissing.startedMs)
         return;
     const core::time_point now = core::boot_clock::now();
     found->second.controller.adapterMissing(inMissing.adapter, now);
-    pump(inMissing.endpoint, found->second, now);
+    advanceEngine(inMissing.endpoint, found->second, now);
 }
 
-void order_service::used(const std::string &inInstance,
-                         const std::vector<engines::adapter_digest> &inSent,
-                         const std::vector<engines::adapter_digest> &inRunning)
+void order_service::adaptersUsed(const std::string &inInstance,
+                                 const std::vector<engines::adapter_digest> &inSent,
+                                 const std::vector<engines::adapter_digest> &inRunning)
 {
     const core::time_point now = core::boot_clock::now();
     const std::set<engines::adapter_digest> running(inRunning.begin(), inRunning.end());
@@ -346,7 +348,8 @@
     }
 }
 
-void order_service::running(const std::string &inInstance, const fleet::adapter_running &inChange)
+void order_service::adapterRunning(const std::string &inInstance,
+                                   const fleet::adapter_running &inChange)
 {
     const auto found = mHeld.find(inChange.endpoint);
     if (found == mHeld.end() || found->second.controller.entry().startedMs != inChange.startedMs)
@@ -355,18 +358,18 @@
     found->second.controller.setRunning(inInstance, inChange.adapter, inChange.running, now);
     // A place that can be made free may be what a request waits for.
     if (!inChange.running)
-        pump(inChange.endpoint, found->second, now);
+        advanceEngine(inChange.endpoint, found->second, now);
 }
 
 void order_service::tick()
 {
     const core::time_point now = core::boot_clock::now();
-    tendLooks(now);
+    updatePollWait(now);
     claimEngines(now);
     for (auto &[engine, state] : mHeld) {
-        pump(engine, state, now);
+        advanceEngine(engine, state, now);
         if (state.controller.reportDue(now) && state.controller.entry().address.port != 0)
-            askReport(engine, state, now);
+            requestReport(engine, state, now);
     }
 }
 
@@ -377,7 +380,7 @@
         if (engine != inEngine)
             count += state.controller.adapters().arriving.size();
     }
-    for (const auto &[engine, adapters] : mElsewhere) {
+    for (const auto &[engine, adapters] : mRemoteAdapters) {
         if (!mHeld.contains(engine))
             count += static_cast<std::size_t>(
                 std::ranges::count_if(adapters.arriving, [&](const auto &inEntry) {
@@ -390,10 +393,10 @@
 /// Loads beyond what the store carries at full speed make all of them slower, so that they begin
 /// one after the other. Each instance may always have its share of them under way, since what it
 /// knows of the others is some milliseconds old.
-load_state order_service::loadsOf(const std::string &inEngine, core::time_point inNow) const
+load_state order_service::loadStateOf(const std::string &inEngine, core::time_point inNow) const
 {
     load_state loads{.arrivingElsewhere = arrivingElsewhere(inEngine, inNow)};
-    loads.fullSpeedLoads = std::max(cLeastParallelLoads,
+    loads.fullSpeedLoads = std::max(cMinParallelLoads,
                                     cParallelLoadsPerEngine * static_cast<double>(mEntries.size()));
     int own = 0;
     for (const auto &[engine, state] : mHeld)
@@ -404,11 +407,12 @@
     return loads;
 }
 
-void order_service::pump(const std::string &inEngine, held &ioHeld, core::time_point inNow)
+void order_service::advanceEngine(const std::string &inEngine, held_engine &ioHeld,
+                                  core::time_point inNow)
 {
     ioHeld.controller.advance(inNow);
     if (mClaims.mayOrder(inEngine, inNow)) {
-        ioHeld.controller.setLoadState(loadsOf(inEngine, inNow));
+        ioHeld.controller.setLoadState(loadStateOf(inEngine, inNow));
         if (const auto order = ioHeld.controller.nextOrder(inNow))
             sendOrder(inEngine, *order);
     }
@@ -447,10 +451,11 @@
     if (found == mHeld.end())
         return;
     found->second.controller.orderEnded(inOrder, inOutcome, now);
-    pump(inEngine, found->second, now);
+    advanceEngine(inEngine, found->second, now);
 }
 
-void order_service::askReport(const std::string &inEngine, held &ioHeld, core::time_point inNow)
+void order_service::requestReport(const std::string &inEngine, held_engine &ioHeld,
+                                  core::time_point inNow)
 {
     ioHeld.controller.reportStarted(inNow);
     mFetcher.fetch(platform::reportRequest(ioHeld.controller.entry().address),
@@ -466,11 +471,12 @@
                            found->second.controller.reportEnded(std::nullopt, now);
                        mMetrics.count(report ? "reports_total{outcome=\"read\"}"
                                              : "reports_total{outcome=\"failed\"}");
-                       pump(inEngine, found->second, now);
+                       advanceEngine(inEngine, found->second, now);
                    });
 }
 
-void order_service::publish(const std::string &inEngine, held &ioHeld, core::time_point inNow)
+void order_service::publish(const std::string &inEngine, held_engine &ioHeld,
+                            core::time_point inNow)
 {
     const engine_controller &controller = ioHeld.controller;
     fleet::engine_state state{.endpoint = inEngine,
--- a/corneltally/orders/order_service.h
+++ b/corneltally/orders/order_service.h
@@ -49,10 +49,10 @@
     void start() override;
 
     /// The process did not run for a while: nothing that was believed before may lead to an order.
-    void paused();
+    void processPaused();
 
 private:
-    struct held
+    struct held_engine
     {
         engine_controller controller;
         std::optional<fleet::engine_state> published;
@@ -61,26 +61,27 @@
 
     void topicUpdated(const catalog::fleet_topic_updated &inUpdate);
     void endpointChanged(const engines::endpoint_entry &inEntry);
-    void endpointGone(const std::string &inId);
-    void tendLooks(core::time_point inNow);
+    void endpointRemoved(const std::string &inId);
+    void updatePollWait(core::time_point inNow);
     core::duration claimDelay() const;
     void claimEngines(core::time_point inNow);
-    void wanted(const fleet::load_wanted &inWanted, std::string_view inFrom);
-    void missing(const fleet::adapter_missing &inMissing);
-    void running(const std::string &inInstance, const fleet::adapter_running &inChange);
-    void used(const std::string &inInstance, const std::vector<engines::adapter_digest> &inSent,
-              const std::vector<engines::adapter_digest> &inRunning);
+    void loadRequested(const fleet::load_wanted &inWanted, std::string_view inFrom);
+    void adapterMissing(const fleet::adapter_missing &inMissing);
+    void adapterRunning(const std::string &inInstance, const fleet::adapter_running &inChange);
+    void adaptersUsed(const std::string &inInstance,
+                      const std::vector<engines::adapter_digest> &inSent,
+                      const std::vector<engines::adapter_digest> &inRunning);
     void versionNamed(const catalog::adapter_version_named &inNamed);
-    void describe(const std::string &inEngine);
+    void configureEngine(const std::string &inEngine);
     void tick();
-    load_state loadsOf(const std::string &inEngine, core::time_point inNow) const;
+    load_state loadStateOf(const std::string &inEngine, core::time_point inNow) const;
     int arrivingElsewhere(const std::string &inEngine, core::time_point inNow) const;
-    void pump(const std::string &inEngine, held &ioHeld, core::time_point inNow);
+    void advanceEngine(const std::string &inEngine, held_engine &ioHeld, core::time_point inNow);
     void sendOrder(const std::string &inEngine, const engines::engine_order &inOrder);
     void orderEnded(const std::string &inEngine, const engines::engine_order &inOrder,
                     engines::order_outcome inOutcome, core::time_point inSentAt);
-    void askReport(const std::string &inEngine, held &ioHeld, core::time_point inNow);
-    void publish(const std::string &inEngine, held &ioHeld, core::time_point inNow);
+    void requestReport(const std::string &inEngine, held_engine &ioHeld, core::time_point inNow);
+    void publish(const std::string &inEngine, held_engine &ioHeld, core::time_point inNow);
     std::vector<fleet::fleet_node> knownEngines() const;
     const routing::engine_profile *profileOf(const engines::endpoint_entry &inEntry) const;
 
@@ -92,18 +93,18 @@
     fleet::holder_claims mClaims;
     std::shared_ptr<const routing::routing_table> mTable;
     std::map<std::string, engines::endpoint_entry> mEntries;
-    std::map<std::string, held> mHeld;
+    std::map<std::string, held_engine> mHeld;
     std::map<std::string, std::uint64_t> mNamedVersions;
     std::vector<fleet::fleet_node> mLive;
     /// Adapters on their way to the engines that other instances hold, by engine.
-    std::map<std::string, engines::residency> mElsewhere;
+    std::map<std::string, engines::residency> mRemoteAdapters;
     std::uint64_t mTopicEnd = 0;
-    bool mAppendUnderWay = false;
+    bool mAppendInFlight = false;
     core::time_point mClaimNotBefore;
     /// When there first was something to claim or to remove since the last append.
-    std::optional<core::time_point> mClaimWantedAt;
-    core::time_point mLookAskedAt;
-    bool mCalm = false;
+    std::optional<core::time_point> mClaimDueAt;
+    core::time_point mPollRequestedAt;
+    bool mReportedLiveByAll = false;
     bool mTopicLoaded = false;
 };
 
