--- a/corneltally/engines/endpoint_choice.cpp
+++ b/corneltally/engines/endpoint_choice.cpp
@@ -11,11 +11,11 @@
 
 using milliseconds = std::chrono::duration<double, std::milli>;
 
-/// Estimated time that a plain request takes; only the ratio to the domain penalty matters.
+/// Estimated duration of a plain request; only its ratio to the domain penalty matters.
 constexpr double cPlainRequestMs = 30;
-/// Estimate for each request beyond the batch of an engine.
+/// Estimated wait for each request beyond the batch size of an engine.
 constexpr double cBeyondBatchMs = 20;
-/// Time that the memory of an engine needs to come free, for a request that needs all of it.
+/// Time until the KV cache of an engine is free, for a request that needs all of it.
 constexpr double cMemoryWaitMs = 1500;
 
 double inMs(core::duration inDuration)
@@ -28,7 +28,7 @@
     return std::chrono::duration_cast<core::duration>(milliseconds(inMilliseconds));
 }
 
-/// Prompt tokens that the engine need not read, since it has read them for this adapter before.
+/// Prompt tokens whose prefill the engine has cached for this adapter.
 double cachedTokens(const endpoint &inEndpoint, const work_request &inRequest,
                     const choice_options &inOptions, core::time_point inNow)
 {
@@ -64,8 +64,8 @@
     return cost;
 }
 
-/// What the pauses of an engine cost, beside the request's own wait: answers are late in which an
-/// event comes later than the route allows, and the reading of a prompt delays those beside it.
+/// Cost of an engine's pauses beyond the request's own wait: an answer is late if an event comes
+/// later than the route allows, and the prefill of this prompt delays the answers in progress.
 double pauseCost(const endpoint &inEndpoint, const endpoint_load &inLoad,
                  const work_request &inRequest, const choice_options &inOptions)
 {
@@ -91,7 +91,7 @@
 struct candidate
 {
     endpoint *target = nullptr;
-    /// Time to the first event, and the same with what the choice costs others.
+    /// Time to the first event, and the same with the cost to other requests.
     double estimate = 0;
     double cost = 0;
     endpoint_choice::readiness state = endpoint_choice::readiness::ready;
@@ -99,7 +99,7 @@
     std::uint64_t preference = 0;
 };
 
-/// Adds the wait for the adapter. Returns false if the endpoint can't get it.
+/// Adds the wait for the adapter. Returns false if the endpoint can't load it.
 bool addAdapterWait(candidate &ioCandidate, const endpoint_table &inTable, const std::string &inKey,
                     const work_request &inRequest, const choice_options &inOptions,
                     core::time_point inNow)
@@ -123,7 +123,8 @@
     ioCandidate.cost += inMs(inOptions.adapterLoad) * (isWarm ? inOptions.warmLoad : 1);
     if (!isWarm)
         ioCandidate.cost += inMs(inOptions.coldPenalty);
-    // A request for an adapter that is asked for already waits no longer than that one.
+    // An adapter that this instance has already requested is part of the wait: don't count it
+    // twice.
     const int open = inTable.openSlots(target, inRequest.adapterSlots, inNow)
         + (target.ownWaiting.contains(inKey) ? 1 : 0);
     if (open <= 0)
@@ -154,7 +155,7 @@
     const std::string key = adapterKey(inRequest.model, inRequest.adapter);
     std::vector<candidate> candidates;
     const std::vector<endpoint *> all = ioTable.ofService(inRequest.service);
-    // Where most endpoints fail, leaving them out would only overload the others.
+    // If most endpoints fail, excluding them would only overload the others.
     const bool respectHealth
         = 2
             * std::ranges::count_if(
@@ -186,7 +187,7 @@
     }
     if (candidates.empty())
         return std::nullopt;
-    // Instances that know the same load choose the same engine for an adapter.
+    // Instances that see the same load choose the same engine for an adapter.
     std::ranges::sort(candidates, std::ranges::greater{}, &candidate::preference);
     double rank = 0;
     for (candidate &entry : candidates) {
--- a/corneltally/engines/endpoint_entry.h
+++ b/corneltally/engines/endpoint_entry.h
@@ -12,7 +12,7 @@
 
 namespace corneltally::engines {
 
-/// What an endpoint says of itself in the platform's list.
+/// Entry of an endpoint in the platform's list.
 struct endpoint_entry
 {
     std::string id;
@@ -20,13 +20,13 @@
     http1::address address;
     std::string failureDomain;
     int capacity = 0;
-    /// The endpoint is leaving and must get no new requests.
+    /// The endpoint is leaving and must receive no new requests.
     bool leaving = false;
-    /// Time after which a leaving endpoint is gone, whatever it runs.
+    /// Time after which a leaving endpoint is removed, even if requests still run on it.
     std::optional<std::chrono::milliseconds> removedIn;
-    /// Start of the endpoint, in ms since 1970. A new start under the same id has another one.
+    /// Start time of the endpoint, in ms since 1970. It differs after a restart under the same id.
     std::uint64_t startedMs = 0;
-    /// Orders accepted since the start.
+    /// Number of orders accepted since the start.
     std::uint64_t orders = 0;
     std::vector<held_model> models;
 
--- a/corneltally/engines/endpoint_table.cpp
+++ b/corneltally/engines/endpoint_table.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Adapters and models as the platform's list has them.
+/// Takes the resident adapters and models from the platform's entry.
 void adoptEntry(endpoint &ioEndpoint)
 {
     ioEndpoint.models.clear();
@@ -21,7 +21,8 @@
     }
 }
 
-/// Adapters that were unloaded are kept at hand by the engine for a while.
+/// Updates the warm adapters: those that are no longer resident are added, those that are resident
+/// or arriving again are dropped.
 void recordUnloaded(endpoint &ioEndpoint, const residency &inNext)
 {
     const auto isKept = [&](const std::string &inAdapter) {
@@ -84,7 +85,7 @@
         return;
     target->removed = true;
     target->removedAt = inNow;
-    // Without a grace the endpoint is unusable at once.
+    // An endpoint that can't return is unusable at once.
     if (!inMayReturn || target->entry.leaving)
         target->removedAt -= sReturnTimeout;
 }
--- a/corneltally/engines/engine_order.h
+++ b/corneltally/engines/engine_order.h
@@ -15,32 +15,32 @@
     std::string model;
     /// Empty for the base model itself.
     std::string adapter;
-    /// Version to load; the newest one if zero.
+    /// Version to load; zero loads the newest one.
     std::uint64_t version = 0;
-    /// The engine refuses the order unless it has accepted this many.
+    /// The engine refuses the order unless it has accepted exactly this many orders.
     std::uint64_t expectedOrders = 0;
-    /// Who orders, and the fencing number of its claim.
+    /// Instance that gives the order, and the fencing number of its engine claim.
     std::string holder;
     std::uint64_t fence = 0;
 
     friend auto operator<=>(const engine_order &, const engine_order &) = default;
 };
 
-/// What became of an order.
+/// Outcome of an order.
 enum class order_outcome {
-    /// It is being carried out.
+    /// The engine carries it out.
     accepted,
-    /// What it asks for holds already.
+    /// The engine is already in the requested state.
     holds,
-    /// Another order is under way, or the engine has accepted another number of orders.
+    /// Another order is in progress, or the number of accepted orders differs.
     conflict,
     /// The fencing number is too low.
     fenced,
-    /// Another engine has the address.
+    /// Another engine answers at the address.
     other_engine,
-    /// The engine refused for another reason; nothing was done.
+    /// The engine refused for another reason; nothing changed.
     refused,
-    /// No answer: it may be carried out at any time.
+    /// No answer: the engine may still carry it out at any time.
     unknown,
 };
 
--- a/corneltally/engines/held_weights.h
+++ b/corneltally/engines/held_weights.h
@@ -7,7 +7,7 @@
 
 namespace corneltally::engines {
 
-/// An adapter on an engine.
+/// An adapter that is resident on an engine, or being loaded.
 struct held_adapter
 {
     std::string name;
@@ -16,7 +16,7 @@
     friend auto operator<=>(const held_adapter &, const held_adapter &) = default;
 };
 
-/// A base model on an engine with its resident adapters.
+/// A base model on an engine with its adapters.
 struct held_model
 {
     std::string name;
