--- a/corneltally/orders/engine_controller.cpp
+++ b/corneltally/orders/engine_controller.cpp
@@ -9,14 +9,14 @@
 
 using operation = engines::engine_order::operation;
 
-/// Time after which the load of a base model that no report confirms is ordered again. The longest
-/// load of a deployment sheet takes 2.9 s, and longer while several run.
+/// Time after which the load of a base model is ordered again if no report confirms it. The longest
+/// load in the deployment sheets takes 2.9 s, and more while several run.
 constexpr core::duration cModelLoadTime = std::chrono::seconds(8);
 
-/// Popularity that one use adds; far above the amount at which the slots forget an adapter.
+/// Popularity that one use adds; far above the value below which adapter_slots drops an adapter.
 constexpr double cUseWeight = 1000;
 
-/// Uses that are older have no effect on any decision.
+/// Older uses have no effect on any decision.
 constexpr core::duration cUseRetention = std::chrono::seconds(30);
 
 /// Splits "model/adapter".
@@ -55,7 +55,8 @@
     scheduling::slot_options slots;
     slots.slots = std::max(1, inProfile.adapterSlots);
     slots.popularityHalfLife = std::chrono::seconds(15);
-    // Most refusals mean that another order is under way, which says nothing about the adapter.
+    // Most refusals mean that another order is in progress, so the adapter itself can be retried
+    // soon.
     slots.firstBackoff = mOptions.busyDelay;
     slots.maxBackoff = std::chrono::seconds(2);
     mSlots.configure(slots);
@@ -145,7 +146,7 @@
 std::optional<engines::engine_order> engine_controller::nextOrder(core::time_point inNow)
 {
     if (mInFlight) {
-        // An order without answer is given again: only one of the two can be accepted.
+        // An order without answer is sent again: only one of the two can be accepted.
         if (mInFlight->sent || inNow < mInFlight->notBefore)
             return std::nullopt;
         mInFlight->sent = true;
@@ -197,7 +198,7 @@
         const auto named = mNamed.find(key);
         if (isRunning(key, inNow) && inNow - named->second.at < mOptions.replacementDelay)
             continue;
-        // An old adapter that nobody asks for makes room instead of being fetched again.
+        // An outdated adapter without demand is unloaded rather than fetched again.
         const auto used = mUsed.find(key);
         if (!mDemand.contains(key)
             && (used == mUsed.end() || inNow - used->second > std::chrono::seconds(3)))
@@ -218,7 +219,7 @@
     for (const auto &[key, entry] : mDemand) {
         if (std::ranges::find(mModels, entry.model) == mModels.end())
             continue;
-        // No room is made for an adapter that may not be fetched yet.
+        // No slot is freed for an adapter that may not be fetched yet.
         if (!mLoadState.mayFetch && !isWarm(key)
             && mSlots.stateOf(key) == scheduling::adapter_slots::state::absent)
             continue;
@@ -231,7 +232,8 @@
              .startTag = static_cast<double>(entry.first.time_since_epoch().count())});
     }
     std::ranges::sort(demands, {}, &scheduling::adapter_demand::startTag);
-    // An engine that is to unload an adapter in use takes no other order until its requests end.
+    // An engine that unloads an adapter in use takes no other order until the adapter's requests
+    // end.
     const auto inUse = [&](const std::string &inKey) { return isRunning(inKey, inNow); };
     const scheduling::slot_decision decision = mSlots.decide(demands, inUse, inNow);
     switch (decision.kind) {
@@ -248,12 +250,12 @@
 void engine_controller::orderEnded(const engines::engine_order &inOrder,
                                    engines::order_outcome inOutcome, core::time_point inNow)
 {
-    // After a new start of the engine, orders to the former one have no meaning any more.
+    // Outcomes of orders from before a restart of the engine are ignored.
     if (!mInFlight || mInFlight->order != inOrder)
         return;
     const engines::engine_order order = mInFlight->order;
     const bool repeated = mInFlight->repeated;
-    // An order that was refused changes nothing, so a report from before it still holds.
+    // A refused order changes nothing, so a report from before it stays valid.
     if (inOutcome == engines::order_outcome::accepted || inOutcome == engines::order_outcome::holds
         || inOutcome == engines::order_outcome::unknown)
         mLastChangeAt = inNow;
@@ -270,12 +272,12 @@
         finishOrder(order, true, inNow);
         return;
     }
-    // A report must be newer than the order to show what became of it; further refusals must not
-    // put it off.
+    // Only a report that is newer than the order shows its effect; further refusals must not delay
+    // the report.
     mNextReport = std::min(mNextReport, inNow + mOptions.reportLag);
     mOrderNotBefore = inNow + mOptions.busyDelay;
     if (inOutcome == engines::order_outcome::conflict && repeated) {
-        // The first of the two may have been accepted, or another order is under way.
+        // The first of the two may have been accepted, or another order is in progress.
         mUnresolved = order;
         ++mRevision;
         return;
@@ -298,7 +300,7 @@
     }
     if (!inDone) {
         mSlots.loadEnded(key, false, inNow);
-        // A replacement that was refused leaves the older version in place.
+        // After a refused replacement the older version stays resident.
         if (mVersions.contains(key))
             mSlots.loadEnded(key, true, inNow);
         return;
@@ -332,7 +334,7 @@
     return std::ranges::find(mWarm, inKey) != mWarm.end();
 }
 
-/// Settles an order that was sent twice by what a later report shows.
+/// Completes an order that was sent twice with the state that a later report shows.
 void engine_controller::resolve(const engines::engine_order &inOrder, bool inPresent,
                                 core::time_point inNow)
 {
@@ -385,7 +387,7 @@
     if (!inReport || inReport->startedMs != mEntry.startedMs)
         return;
     const core::time_point described = mReportStartedAt - mOptions.reportLag;
-    // While an order is under way, or one was given since, the report may be older than it.
+    // The report may be older than an order that is in flight or was sent since.
     if (mInFlight || described < mLastChangeAt) {
         if (mOrders != inReport->orders)
             mNextReport = inNow + mOptions.resyncPeriod;
--- a/corneltally/orders/engine_controller.h
+++ b/corneltally/orders/engine_controller.h
@@ -17,86 +17,85 @@
 
 namespace corneltally::orders {
 
-/// Loads of adapters over all engines, as a holder knows them.
+/// Adapter loads over all engines, as a holder knows them.
 struct load_state
 {
-    /// Adapters on their way to all other engines.
+    /// Adapters that are being loaded to all other engines.
     int arrivingElsewhere = 0;
-    /// Loads that the store carries at full speed.
+    /// Number of parallel loads that the weight store serves at full speed.
     double fullSpeedLoads = 8;
-    /// Whether another adapter may be fetched from the store.
+    /// Whether another adapter may be fetched from the weight store.
     bool mayFetch = true;
 
     friend auto operator<=>(const load_state &, const load_state &) = default;
 };
 
-/// Constants of the care for one engine.
+/// Options of the control of one engine.
 struct controller_options
 {
     /// Time to load an adapter (deployment sheets: 250 ms).
     core::duration adapterLoad = std::chrono::milliseconds(250);
-    /// Bound of the slow-down that is assumed. Without it, long estimates would make more loads
-    /// count as under way, and so grow further.
+    /// Upper bound of the assumed slow-down of parallel loads. Without it, long estimates would
+    /// make more loads count as in flight, and so grow further.
     double maxSlowDown = 3;
-    /// Part of the load time that an adapter takes which the engine held recently (platform's
-    /// pages: a tenth).
+    /// Fraction of the load time for a warm adapter (platform's pages: a tenth).
     double warmLoad = 0.1;
-    /// Adapters that an engine keeps at hand after they were unloaded.
+    /// Number of unloaded adapters that an engine keeps warm.
     std::size_t warmAdapters = 40;
-    /// Pause before a request may try an adapter again that was expected but is not there.
+    /// Delay before requests may use an adapter again that was expected to be resident but is not.
     core::duration lateLoadDelay = std::chrono::milliseconds(80);
-    /// Adapters that may be on their way to one engine at the same time (platform's pages: 4).
+    /// Adapters that one engine may load at the same time (platform's pages: 4).
     int maxArriving = 4;
-    /// An instance's word on the adapters that it runs on counts for this long; heartbeats repeat
-    /// it five times a second.
+    /// Longest age of an instance's report of the adapters in use; heartbeats repeat it five times
+    /// a second.
     core::duration maxUseAge = std::chrono::milliseconds(1500);
-    /// A version that was named is loaded over an adapter in use only after this time: the engine
-    /// takes no other order until the adapter's requests have ended. The operator's bound is 5 s.
+    /// Delay before a named version replaces an adapter in use: the engine takes no other order
+    /// until the adapter's requests have ended. The operator's bound is 5 s.
     core::duration replacementDelay = std::chrono::milliseconds(2500);
-    /// Pause after the engine refused an order because another one is under way.
+    /// Delay after the engine refused an order because another one is in progress.
     core::duration busyDelay = std::chrono::milliseconds(100);
-    /// Demand that was not renewed for this long is dropped.
+    /// Demand that is not renewed for this long is dropped.
     core::duration maxDemandAge = std::chrono::milliseconds(1500);
     /// Lag of reports (platform's pages: some hundred ms).
     core::duration reportLag = std::chrono::milliseconds(400);
-    /// Pause before an order without answer is given again.
+    /// Delay before an order without answer is sent again.
     core::duration repeatDelay = std::chrono::milliseconds(20);
-    /// Reports are asked for this often, and more often after a surprise.
+    /// Reports are requested with this period, or with the shorter one after an unexpected state.
     core::duration reportPeriod = std::chrono::seconds(2);
     core::duration resyncPeriod = std::chrono::milliseconds(150);
 };
 
-/// Adapters and orders of one engine, for the instance that holds it. One order is under way at a
-/// time, and each names the number of orders that the engine has accepted, so that an order without
-/// answer that is carried out late has no effect once a later one was accepted.
+/// Controls the adapters of one engine, for the instance that holds it. One order is in flight at a
+/// time. Each order names the number of orders that the engine has accepted, so that an order
+/// without answer that arrives late has no effect once a later one was accepted.
 class engine_controller
 {
 public:
     engine_controller(std::string inEngine, controller_options inOptions);
 
-    /// The engine's entry and profile; a new start forgets all.
+    /// Sets the engine's entry and profile; a new start of the engine resets all state.
     void configure(const engines::endpoint_entry &inEntry, const routing::engine_profile &inProfile,
                    core::time_point inNow);
 
-    /// A request needs an adapter.
+    /// Records that a request needs an adapter.
     void adapterRequested(const std::string &inModel, const std::string &inAdapter,
                           std::uint64_t inVersion, double inTokens, core::time_point inNow);
 
-    /// A request was sent for an adapter.
+    /// Records that a request was sent for an adapter.
     void adapterUsed(const std::string &inKey, core::time_point inNow);
 
-    /// An instance's first request on an adapter began, or its last one ended.
+    /// Records that an instance's first request on an adapter began, or its last one ended.
     void setRunning(const std::string &inInstance, const std::string &inKey, bool inRunning,
                     core::time_point inNow);
-    /// All adapters that an instance runs on.
+    /// Sets all adapters that an instance's requests run on.
     void setRunningAdapters(const std::string &inInstance,
                             std::set<std::string, std::less<>> inKeys, core::time_point inNow);
 
-    /// The engine refused a request because the adapter is not there: its load takes longer than
-    /// expected, or the engine lost it. It keeps its place until a report shows which.
+    /// The engine refused a request because the adapter is not resident: its load takes longer than
+    /// expected, or the engine lost it. The adapter keeps its slot until a report shows which.
     void adapterMissing(const std::string &inKey, core::time_point inNow);
 
-    /// What the other engines have on their way, and whether a load from the store may begin.
+    /// Sets the loads of the other engines, and whether a load from the weight store may begin.
     void setLoadState(const load_state &inState) { mLoadState = inState; }
 
     /// The operator named a version of an adapter: a resident older one has to be replaced.
@@ -107,27 +106,28 @@
     void orderEnded(const engines::engine_order &inOrder, engines::order_outcome inOutcome,
                     core::time_point inNow);
 
-    /// Whether a report should be asked for now; reportEnded() follows.
+    /// Whether a report should be requested now. The caller then calls reportStarted(), and
+    /// reportEnded() with the result.
     bool reportDue(core::time_point inNow) const;
     void reportStarted(core::time_point inNow);
     void reportEnded(const std::optional<engines::engine_report> &inReport, core::time_point inNow);
 
-    /// Moves adapters whose load must have ended; to be called often.
+    /// Makes adapters resident whose load time has passed; to be called often.
     void advance(core::time_point inNow);
 
-    /// Whether orders may be given: the number of accepted orders is known.
+    /// Whether the number of accepted orders is known, without which no order can be given.
     bool inSync() const { return mOrders.has_value() && !mUnresolved; }
 
     engines::residency adapters() const;
-    /// Number of adapters on their way.
+    /// Number of adapters that are being loaded.
     int arriving() const { return static_cast<int>(mArriving.size()); }
-    /// All adapters that are there or on their way, also those that take no new requests.
+    /// All resident and arriving adapters, including those that take no new requests.
     std::vector<std::string> knownAdapters() const;
     std::vector<std::string> models() const { return mModels; }
     const engines::endpoint_entry &entry() const { return mEntry; }
     /// Changes with each change of adapters() or models().
     std::uint64_t revision() const { return mRevision; }
-    /// Adapters that are asked for and not on their way yet.
+    /// Number of requested adapters whose load has not begun.
     int queued() const;
 
 private:
@@ -144,7 +144,7 @@
     {
         engines::engine_order order;
         bool sent = false;
-        /// It was sent before and got no answer.
+        /// The order was sent before and got no answer.
         bool repeated = false;
         core::time_point notBefore;
     };
@@ -184,18 +184,18 @@
     std::map<std::string, core::time_point, std::less<>> mUsed;
     std::map<std::string, instance_use, std::less<>> mRunning;
     std::vector<std::string> mModels;
-    /// Adapters that were unloaded, the latest last.
+    /// Recently unloaded adapters, the latest last.
     std::vector<std::string> mWarm;
     load_state mLoadState;
     std::optional<std::uint64_t> mOrders;
     std::optional<in_flight_order> mInFlight;
-    /// An order whose effect only a report can show, since it was sent twice.
+    /// An order that was sent twice, so that only a report can show its effect.
     std::optional<engines::engine_order> mUnresolved;
     core::time_point mOrderNotBefore;
     bool mReportInFlight = false;
     core::time_point mReportStartedAt;
     core::time_point mNextReport;
-    /// When an order last may have changed the engine.
+    /// Last time at which an order may have changed the engine.
     core::time_point mLastChangeAt;
     std::optional<core::time_point> mModelLoadUntil;
     std::uint64_t mRevision = 1;
--- a/corneltally/orders/order_messages.h
+++ b/corneltally/orders/order_messages.h
@@ -13,7 +13,7 @@
     fleet::load_wanted wanted;
 };
 
-/// A request of this instance was refused since the adapter is not there.
+/// An engine refused a request of this instance because the adapter is not resident.
 struct local_adapter_missing
 {
     fleet::adapter_missing missing;
@@ -25,7 +25,7 @@
     fleet::adapter_running change;
 };
 
-/// Adapters that requests of this instance were sent for since the last message, and those that
+/// Adapters for which this instance sent requests since the last message, and adapters that its
 /// requests run on now.
 struct local_adapter_uses
 {
@@ -33,7 +33,7 @@
     std::vector<engines::adapter_digest> running;
 };
 
-/// State of an engine that this instance holds.
+/// The state of an engine that this instance holds changed, or is repeated.
 struct held_engine_changed
 {
     fleet::engine_state state;
--- a/corneltally/orders/order_service.cpp
+++ b/corneltally/orders/order_service.cpp
@@ -16,29 +16,30 @@
 
 namespace {
 
-/// Period of the checks that no message starts: lapsed loads, reports, claims.
+/// Period of the checks that no message triggers: ended loads, reports, claims.
 constexpr core::duration cTickPeriod = std::chrono::milliseconds(25);
-/// Adapters on their way over all engines beyond which loads slow down in proportion: the greater
-/// of a number and a share of the engines (deployment sheets: 8 for 12 engines, 40 and 32 for 90).
+/// Number of parallel loads over all engines beyond which loads slow down in proportion: the
+/// greater of a fixed number and a share of the engines (deployment sheets: 8 for 12 engines, 40
+/// and 32 for 90).
 constexpr double cMinParallelLoads = 8;
 constexpr double cParallelLoadsPerEngine = 0.35;
-/// Pause between two attempts to claim engines.
+/// Delay between two attempts to claim engines.
 constexpr core::duration cClaimRetryDelay = std::chrono::milliseconds(400);
-/// Instances of a failure domain claim one after the other with this delay. Of two that append
-/// behind the same record one is refused, and each append wakes the reads of all instances.
+/// Delay between the claims of the instances of a failure domain. If two instances append after the
+/// same record, one is refused, and each append ends the long polls of all instances.
 constexpr core::duration cClaimDelayStep = std::chrono::milliseconds(100);
-/// Time for a look at the claims before another one is asked for. The store answers in some
-/// milliseconds, and while it is away each call to it is priced.
+/// Timeout of a poll of the claims before another one is requested. The store answers in some
+/// milliseconds, and each call to it has a price while it is unavailable.
 constexpr core::duration cPollTimeout = std::chrono::milliseconds(600);
-/// Claims on engines that are gone are removed together with other claims, or after this time.
+/// Claims on removed engines are removed together with the next claims, or after this time.
 constexpr core::duration cObsoleteClaimDelay = std::chrono::seconds(4);
-/// While all other instances have said within this time that they hear this one, its right to
-/// order lasts for 11 s after a look, and its reads of the claims wait for the longer time. It
-/// leaves 7 s of orders when the store goes away.
+/// While all other instances have reported this one as live within cMaxLiveReportAge, its right to
+/// order lasts for 11 s after a read, and its long polls of the claims wait for cLongPollWait. This
+/// leaves 7 s in which it may order when the store becomes unavailable.
 constexpr core::duration cMaxLiveReportAge = std::chrono::milliseconds(1500);
 constexpr core::duration cLongPollWait = std::chrono::milliseconds(4000);
 constexpr core::duration cShortPollWait = std::chrono::milliseconds(2200);
-/// The state of an engine is repeated this often for instances that missed it.
+/// Period in which the state of an engine is repeated for instances that missed it.
 constexpr core::duration cRepeatPeriod = std::chrono::seconds(2);
 
 std::string_view outcomeName(engines::order_outcome inOutcome)
@@ -149,7 +150,7 @@
 
 void order_service::processPaused()
 {
-    // What the claims said before the pause is outdated; the next read confirms them anew.
+    // The claims from before the pause may be outdated; the next read confirms them.
     mClaims.invalidateRead();
     mRegistry.post("catalog", catalog::fleet_topic_poll{});
     for (auto &[engine, state] : mHeld)
@@ -251,7 +252,7 @@
     }
 }
 
-/// Looks at the claims are rare while nobody can claim engines of this instance.
+/// Lengthens the long polls of the claims while no other instance can claim this one's engines.
 void order_service::updatePollWait(core::time_point inNow)
 {
     const bool isReportedLive = mClaims.isReportedLiveByAll(cMaxLiveReportAge, inNow);
@@ -263,7 +264,7 @@
         catalog::fleet_topic_wait_changed{isReportedLive ? cLongPollWait : cShortPollWait});
 }
 
-/// Delay of this instance's claims behind those of others of its failure domain.
+/// Delay of this instance's claims after those of the other instances of its failure domain.
 core::duration order_service::claimDelay() const
 {
     return cClaimDelayStep * std::ranges::count_if(mLive, [this](const fleet::fleet_node &inOther) {
@@ -356,7 +357,7 @@
         return;
     const core::time_point now = core::boot_clock::now();
     found->second.controller.setRunning(inInstance, inChange.adapter, inChange.running, now);
-    // A place that can be made free may be what a request waits for.
+    // A queued request may be waiting for the slot that can now be freed.
     if (!inChange.running)
         advanceEngine(inChange.endpoint, found->second, now);
 }
@@ -390,9 +391,9 @@
     return static_cast<int>(count);
 }
 
-/// Loads beyond what the store carries at full speed make all of them slower, so that they begin
-/// one after the other. Each instance may always have its share of them under way, since what it
-/// knows of the others is some milliseconds old.
+/// Loads beyond what the weight store serves at full speed slow down all loads, so further loads
+/// wait until others end. Each instance may always have its share of them in flight, since its
+/// state of the other instances is some milliseconds old.
 load_state order_service::loadStateOf(const std::string &inEngine, core::time_point inNow) const
 {
     load_state loads{.arrivingElsewhere = arrivingElsewhere(inEngine, inNow)};
--- a/corneltally/orders/order_service.h
+++ b/corneltally/orders/order_service.h
@@ -35,8 +35,8 @@
     controller_options controller;
 };
 
-/// Gives the orders to the engines that this instance holds: claims engines, keeps their adapters,
-/// and tells the other instances what is where.
+/// Claims engines, gives orders to the engines that this instance holds, and reports their adapters
+/// to the other instances.
 class order_service final : public kernel::service
 {
 public:
@@ -48,7 +48,7 @@
     std::string_view name() const override { return cName; }
     void start() override;
 
-    /// The process did not run for a while: nothing that was believed before may lead to an order.
+    /// Call after a process pause: no order may rest on claims that were read before it.
     void processPaused();
 
 private:
@@ -96,12 +96,12 @@
     std::map<std::string, held_engine> mHeld;
     std::map<std::string, std::uint64_t> mNamedVersions;
     std::vector<fleet::fleet_node> mLive;
-    /// Adapters on their way to the engines that other instances hold, by engine.
+    /// Adapters of the engines that other instances hold, by engine.
     std::map<std::string, engines::residency> mRemoteAdapters;
     std::uint64_t mTopicEnd = 0;
     bool mAppendInFlight = false;
     core::time_point mClaimNotBefore;
-    /// When there first was something to claim or to remove since the last append.
+    /// Since when there are claims to append or to remove; empty if there are none.
     std::optional<core::time_point> mClaimDueAt;
     core::time_point mPollRequestedAt;
     bool mReportedLiveByAll = false;
