--- a/tests/unit/engines_endpoint_choice_test.cpp
+++ b/tests/unit/engines_endpoint_choice_test.cpp
@@ -1,5 +1,5 @@
-// Guards against requests that wait where they need not: behind a backlog, for a load that another
-// engine does not need, or at an endpoint that is leaving or was replaced.
+// Guards against avoidable waits of requests: behind a backlog, for a load while another engine has
+// the adapter, or at an endpoint that is leaving or was replaced.
 
 #include "corneltally/engines/endpoint_choice.h"
 #include "corneltally/engines/endpoint_table.h"
@@ -64,7 +64,7 @@
 
 } // namespace
 
-TEST_CASE("an engine that has the adapter is preferred to one that has to load it")
+TEST_CASE("an engine with the resident adapter is preferred to one that has to load it")
 {
     three_engines fleet;
     fleet.report("e2", {.resident = {{"base/a1", 1}}});
@@ -85,7 +85,7 @@
     CHECK(choice->state == endpoint_choice::readiness::to_load);
 }
 
-TEST_CASE("the load that other instances have counts, until it is old")
+TEST_CASE("the load reported by other instances counts until the report is too old")
 {
     three_engines fleet;
     fleet.report("e2", {.resident = {{"base/a1", 1}}});
@@ -107,7 +107,7 @@
     CHECK(fleet.choose(request)->endpoint == "e3");
 }
 
-TEST_CASE("engines whose holder may not order get only what they have")
+TEST_CASE("engines whose holder may not order get only requests for resident adapters")
 {
     three_engines fleet;
     for (const std::string id : {"e1", "e2", "e3"})
@@ -117,9 +117,9 @@
     CHECK(fleet.choose(adapterRequest())->endpoint == "e1");
 }
 
-// Pattern: a third of the instances is cut off from the others. Requests that wait for loads at the
-// engines of a holder that is out of reach lose most of their time.
-TEST_CASE("engines whose holder went silent get no loads until it is heard again")
+// Pattern: a third of the instances is cut off from the others. Requests that wait for loads at
+// engines whose holder is unreachable lose most of their time.
+TEST_CASE("engines whose holder is not live get no loads until a holder reports again")
 {
     three_engines fleet;
     fleet.book.applyHolderReport("e1", 1, "other", true, {.resident = {{"base/a9", 1}}}, {"base"},
@@ -130,7 +130,7 @@
     CHECK(choice->endpoint == "e1");
     fleet.book.keepHolders({});
     CHECK_FALSE(fleet.choose(adapterRequest()));
-    // What the engine has serves on.
+    // Resident adapters still serve requests.
     engines::work_request resident = adapterRequest();
     resident.adapter = "a9";
     CHECK(fleet.choose(resident)->endpoint == "e1");
@@ -138,7 +138,7 @@
     CHECK(fleet.choose(adapterRequest())->endpoint == "e2");
 }
 
-TEST_CASE("leaving and removed endpoints get nothing, lapsed ones for a while")
+TEST_CASE("leaving and removed endpoints get no requests, expired ones stay usable for a while")
 {
     three_engines fleet;
     engines::endpoint_entry leaving = engineEntry("e1");
@@ -155,7 +155,7 @@
     CHECK_FALSE(usable("e3", 3s));
 }
 
-TEST_CASE("a new start under the same id has nothing of the former one")
+TEST_CASE("a restart under the same id drops the former state")
 {
     three_engines fleet;
     fleet.report("e1", {.resident = {{"base/a1", 1}}});
@@ -163,12 +163,12 @@
     CHECK(fleet.book.apply(engineEntry("e1", 2), cStart));
     CHECK(fleet.book.find("e1")->adapters.resident.empty());
     CHECK(fleet.book.find("e1")->own.requests == 0);
-    // The holder still speaks of the former start.
+    // The holder still reports the former start.
     fleet.report("e1", {.resident = {{"base/a1", 1}}});
     CHECK(fleet.book.find("e1")->adapters.resident.empty());
 }
 
-TEST_CASE("an endpoint that fails is left out, unless most endpoints fail")
+TEST_CASE("a failing endpoint is excluded unless most endpoints fail")
 {
     three_engines fleet;
     const auto fail = [&](const std::string &inId) {
@@ -209,7 +209,7 @@
 
 namespace {
 
-/// Engines that all have the adapter, so that only the sizes of prompts tell them apart.
+/// Engines that all have the adapter, so that only their prompt tokens differ.
 struct engines_with_adapter
 {
     static constexpr int sCount = 12;
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Sends requests one after the other and returns the engines that got them.
+    /// Sends requests one after the other and returns the engines that were chosen.
     std::set<std::string> send(const engines::work_request &inWork, int inRequests)
     {
         std::set<std::string> used;
@@ -244,8 +244,8 @@
 } // namespace
 
 // Pattern: a third of the engines is 1.3 times slower, as on a deployment whose engines differ in
-// speed. While they read a prompt, each event of the answers beside it is later than the routes
-// allow, so that long answers there are late without exception.
+// speed. While they prefill a prompt, each event of the answers in progress is later than the
+// routes allow, so that all long answers there are late.
 TEST_CASE("long answers avoid engines whose pauses are longer than their route allows")
 {
     engines_with_adapter fleet;
@@ -264,12 +264,12 @@
     chat.targetPause = 400ms;
     for (const std::string &engine : fleet.send(chat, 60))
         CHECK_FALSE(slow.contains(engine));
-    // Without a bound that the slow engines miss, all of them serve.
+    // If the slow engines meet the bound too, all engines serve.
     chat.targetPause = 500ms;
     CHECK(fleet.send(chat, 600).size() == engines_with_adapter::sCount);
 }
 
-TEST_CASE("pauses from other causes and of unknown endpoints change nothing")
+TEST_CASE("pauses from other causes and of unknown endpoints are ignored")
 {
     engines_with_adapter fleet;
     fleet.book.recordPause(engines::digestOf("e1"), 40ms);
@@ -280,7 +280,7 @@
     CHECK(fleet.book.slowness(*fleet.book.find("e1")) == 1);
 }
 
-TEST_CASE("what a choice costs others does not count as time that the request waits")
+TEST_CASE("the cost to other requests is not part of the estimated wait")
 {
     engines_with_adapter fleet;
     for (int index = 0; index < engines_with_adapter::sCount; ++index) {
--- a/tests/unit/orders_engine_keeper_test.cpp
+++ b/tests/unit/orders_engine_keeper_test.cpp
@@ -1,5 +1,5 @@
-// Guards against orders that load more adapters than an engine holds, which makes it crash, and
-// against orders that stop an engine from taking others.
+// Guards against orders that load more adapters than an engine has slots, which makes it crash, and
+// against orders that block the engine for other orders.
 
 #include "corneltally/orders/engine_controller.h"
 
@@ -61,7 +61,7 @@
         controller.orderEnded(inOrder, inOutcome, now);
     }
 
-    /// Lets all loads end and the adapters stay for the shortest time.
+    /// Lets all loads end and the minimum residence time of the adapters pass.
     void settle()
     {
         for (int step = 0; step < 2; ++step) {
@@ -89,7 +89,7 @@
 
 } // namespace
 
-TEST_CASE("an adapter is there after its load time, and what is on its way takes a place")
+TEST_CASE("an adapter is resident after its load time, and an arriving one takes a slot")
 {
     controlled_engine engine;
     engine.load("a1");
@@ -97,7 +97,7 @@
     CHECK(engine.controller.adapters().arriving.contains("base/a1"));
     engine.load("a2");
     engine.ask("a3");
-    // Both places are taken by loads that are on their way.
+    // Both slots are taken by arriving adapters.
     CHECK_FALSE(engine.next());
     engine.settle();
     const auto order = engine.next();
@@ -105,7 +105,7 @@
     CHECK(order->kind == engine_order::operation::unload);
 }
 
-TEST_CASE("a refused request does not free the place of an adapter whose load is late")
+TEST_CASE("a refused request does not free the slot of an adapter whose load is late")
 {
     controlled_engine engine;
     engine.load("a1");
@@ -141,7 +141,7 @@
     CHECK(order->kind == engine_order::operation::unload);
 }
 
-TEST_CASE("the word of an instance that is not heard any more does not keep an adapter")
+TEST_CASE("an outdated report of an instance does not keep an adapter resident")
 {
     controlled_engine engine;
     engine.load("a1");
@@ -153,7 +153,7 @@
     CHECK(engine.next());
 }
 
-TEST_CASE("an order without answer is given again with the same number, and nothing else before")
+TEST_CASE("an order without answer is repeated with the same number before any other order")
 {
     controlled_engine engine;
     engine.ask("a1");
@@ -168,7 +168,7 @@
     CHECK(*again == *first);
 }
 
-TEST_CASE("a repeated order that meets a conflict is settled by a newer report only")
+TEST_CASE("a repeated order that ends in a conflict is resolved only by a newer report")
 {
     controlled_engine engine;
     engine.ask("a1");
@@ -179,7 +179,7 @@
     REQUIRE(engine.next());
     engine.end(*order, order_outcome::conflict);
     CHECK_FALSE(engine.controller.inSync());
-    // Nothing says that the adapter is there.
+    // Nothing shows that the adapter is resident.
     engine.now += 300ms;
     engine.next();
     CHECK(engine.controller.adapters().resident.empty());
@@ -191,7 +191,7 @@
     CHECK(engine.controller.adapters().resident.contains("base/a1"));
 }
 
-TEST_CASE("a conflict says that another order is under way, not that the load has begun")
+TEST_CASE("a conflict means that another order is in progress, not that the load has begun")
 {
     controlled_engine engine;
     engine.load("a1");
@@ -211,11 +211,12 @@
     CHECK((found == adapters.resident.end() || found->second < 2));
 }
 
-TEST_CASE("a wrong count of accepted orders is corrected by a report, while orders are refused")
+TEST_CASE("a wrong count of accepted orders is corrected by a report while orders are refused")
 {
     controlled_engine engine;
     engine.load("a1");
-    // The engine said "accepted", but what was asked for held already: the count did not advance.
+    // The engine answered "accepted", but was already in the requested state: the count did not
+    // advance.
     --engine.accepted;
     bool inStep = false;
     for (int step = 0; step < 20 && !inStep; ++step) {
@@ -231,7 +232,7 @@
     CHECK(inStep);
 }
 
-TEST_CASE("a version that was named replaces an adapter in use only when time presses")
+TEST_CASE("a named version replaces an adapter in use only after the replacement delay")
 {
     controlled_engine engine;
     engine.load("a1");
@@ -252,7 +253,7 @@
     CHECK(engine.now - named < 4s);
 }
 
-TEST_CASE("an engine that was unloaded recently gets its adapter back faster")
+TEST_CASE("a recently unloaded adapter reloads faster")
 {
     controlled_engine engine;
     engine.load("a1");
@@ -279,7 +280,7 @@
     CHECK(adapters.arriving.at("base/" + back->adapter).readyAt - engine.now <= 25ms);
 }
 
-TEST_CASE("many loads in a large fleet are not taken for an overload of the weight store")
+TEST_CASE("many loads in a large fleet do not count as an overload of the weight store")
 {
     const auto loadTime = [](int inElsewhere, double inFullSpeedLoads) {
         controlled_engine engine;
@@ -290,13 +291,13 @@
     CHECK(loadTime(0, 8) == 250ms);
     CHECK(loadTime(15, 8) == 500ms);
     CHECK(loadTime(25, 31.5) == 250ms);
-    // A long estimate must not feed on itself.
+    // A long estimate must not increase itself.
     CHECK(loadTime(10'000, 31.5) == 750ms);
 }
 
-// Pattern: rare adapters that many ask for at once. Loads beyond the store's full speed make all of
-// them slower, so that each request waits for the loads of all others.
-TEST_CASE("loads from the store begin one after the other, those of adapters at hand at once")
+// Pattern: many requests for rare adapters at once. Loads beyond what the weight store serves at
+// full speed slow down all loads, so that each request waits for the loads of all others.
+TEST_CASE("loads from the weight store wait for earlier ones, loads of warm adapters do not")
 {
     controlled_engine engine;
     engine.load("a1");
@@ -310,7 +311,7 @@
     engine.end(*unload, order_outcome::holds);
     engine.controller.setLoadState({40, 31.5, false});
     CHECK_FALSE(engine.next());
-    // An adapter at hand takes nothing from the store, and does not wait behind one that does.
+    // A warm adapter needs nothing from the weight store and does not wait for one that does.
     engine.ask(unload->adapter);
     const auto back = engine.next();
     REQUIRE(back);
@@ -320,13 +321,13 @@
     engine.settle();
     engine.now += 1s;
     engine.ask("a3");
-    // No room is made before the load may begin.
+    // No slot is freed before the load may begin.
     CHECK_FALSE(engine.next());
     engine.controller.setLoadState({10, 31.5, true});
     CHECK(engine.next());
 }
 
-TEST_CASE("a new start of the engine forgets adapters and order numbers")
+TEST_CASE("a restart of the engine resets adapters and order numbers")
 {
     controlled_engine engine;
     engine.load("a1");
