--- a/corneltally/engines/endpoint_table.cpp
+++ b/corneltally/engines/endpoint_table.cpp
@@ -141,7 +141,7 @@
     return open - std::max(inEndpoint.queued, static_cast<int>(inEndpoint.ownWaiting.size()));
 }
 
-void endpoint_table::keepHolders(const std::set<std::string> &inLive)
+void endpoint_table::setLiveHolders(const std::set<std::string> &inLive)
 {
     for (auto &[id, target] : mEndpoints)
         target.holderReady = target.holderReady && inLive.contains(target.holder);
--- a/corneltally/engines/endpoint_table.h
+++ b/corneltally/engines/endpoint_table.h
@@ -152,7 +152,7 @@
 
     /// Stops loads to engines whose holder is not live, until the holder or its successor reports
     /// again that it may give orders.
-    void keepHolders(const std::set<std::string> &inLive);
+    void setLiveHolders(const std::set<std::string> &inLive);
 
     /// Discards the reports of other instances and holders, for example after a process pause.
     void forgetReports();
--- a/corneltally/forwarding/front_service.cpp
+++ b/corneltally/forwarding/front_service.cpp
@@ -84,7 +84,7 @@
             std::set<std::string> live{mOptions.instance};
             for (const auto &[name, domain] : inChanged.live)
                 live.insert(name);
-            mContext.book.keepHolders(live);
+            mContext.book.setLiveHolders(live);
         });
     ioRegistry.handle<fleet::heartbeat_due>(
         cName, [this](const fleet::heartbeat_due &) { sendHeartbeatPart(); });
--- a/tests/unit/engines_endpoint_choice_test.cpp
+++ b/tests/unit/engines_endpoint_choice_test.cpp
@@ -124,11 +124,11 @@
     three_engines fleet;
     fleet.book.applyHolderReport("e1", 1, "other", true, {.resident = {{"base/a9", 1}}}, {"base"},
                                  0, cStart);
-    fleet.book.keepHolders({"other"});
+    fleet.book.setLiveHolders({"other"});
     const auto choice = fleet.choose(adapterRequest());
     REQUIRE(choice);
     CHECK(choice->endpoint == "e1");
-    fleet.book.keepHolders({});
+    fleet.book.setLiveHolders({});
     CHECK_FALSE(fleet.choose(adapterRequest()));
     // Resident adapters still serve requests.
     engines::work_request resident = adapterRequest();
