--- a/corneltally/engines/endpoint_book.cpp
+++ b/corneltally/engines/endpoint_table.cpp
@@ -1,4 +1,4 @@
-#include "corneltally/engines/endpoint_book.h"
+#include "corneltally/engines/endpoint_table.h"
 
 #include "corneltally/core/digest.h"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Adapters and models as the platform's list has them.
+/// Takes the resident adapters and models from the platform's entry.
 void adoptEntry(endpoint &ioEndpoint)
 {
     ioEndpoint.models.clear();
@@ -21,21 +21,22 @@
     }
 }
 
-/// Adapters that were unloaded are kept at hand by the engine for a while.
-void noteUnloaded(endpoint &ioEndpoint, const residency &inNext)
+/// Updates the warm adapters: those that are no longer resident are added, those that are resident
+/// or arriving again are dropped.
+void recordUnloaded(endpoint &ioEndpoint, const residency &inNext)
 {
-    const auto stays = [&](const std::string &inAdapter) {
+    const auto isKept = [&](const std::string &inAdapter) {
         return inNext.resident.contains(inAdapter) || inNext.arriving.contains(inAdapter);
     };
-    std::erase_if(ioEndpoint.warm, stays);
+    std::erase_if(ioEndpoint.warm, isKept);
     for (const auto &[adapter, version] : ioEndpoint.adapters.resident) {
-        if (!stays(adapter))
+        if (!isKept(adapter))
             ioEndpoint.warm.push_back(adapter);
     }
-    if (ioEndpoint.warm.size() > endpoint_book::sWarmAdapters)
+    if (ioEndpoint.warm.size() > endpoint_table::sWarmAdapters)
         ioEndpoint.warm.erase(ioEndpoint.warm.begin(),
                               ioEndpoint.warm.end()
-                                  - static_cast<std::ptrdiff_t>(endpoint_book::sWarmAdapters));
+                                  - static_cast<std::ptrdiff_t>(endpoint_table::sWarmAdapters));
 }
 
 } // namespace
@@ -61,7 +62,7 @@
     return std::ranges::find(models, inModel) != models.end();
 }
 
-bool endpoint_book::apply(const endpoint_entry &inEntry, core::time_point inNow)
+bool endpoint_table::apply(const endpoint_entry &inEntry, core::time_point inNow)
 {
     const auto [found, isNew] = mEndpoints.try_emplace(inEntry.id);
     endpoint &target = found->second;
@@ -72,25 +73,25 @@
     target.entry = inEntry;
     target.digest = digestOf(inEntry.id);
     target.removed = false;
-    if (restarted || inNow - target.holderReportAt > sHolderAge)
+    if (restarted || inNow - target.holderReportAt > sMaxHolderReportAge)
         adoptEntry(target);
     return restarted;
 }
 
-void endpoint_book::remove(std::string_view inId, bool inMayReturn, core::time_point inNow)
+void endpoint_table::remove(std::string_view inId, bool inMayReturn, core::time_point inNow)
 {
     endpoint *target = find(inId);
     if (target == nullptr || target->removed)
         return;
     target->removed = true;
     target->removedAt = inNow;
-    // Without a grace the endpoint is unusable at once.
+    // An endpoint that can't return is unusable at once.
     if (!inMayReturn || target->entry.leaving)
-        target->removedAt -= sLapseGrace;
+        target->removedAt -= sReturnTimeout;
 }
 
-void endpoint_book::keepOnly(const std::vector<std::string> &inIds, bool inMayReturn,
-                             core::time_point inNow)
+void endpoint_table::keepOnly(const std::vector<std::string> &inIds, bool inMayReturn,
+                              core::time_point inNow)
 {
     for (const auto &[id, target] : mEndpoints) {
         if (std::ranges::find(inIds, id) == inIds.end())
@@ -98,10 +99,10 @@
     }
 }
 
-void endpoint_book::applyHolderReport(std::string_view inId, std::uint64_t inStartedMs,
-                                      const std::string &inHolder, bool inReady,
-                                      residency inAdapters, std::vector<std::string> inModels,
-                                      int inQueued, core::time_point inNow)
+void endpoint_table::applyHolderReport(std::string_view inId, std::uint64_t inStartedMs,
+                                       const std::string &inHolder, bool inReady,
+                                       residency inAdapters, std::vector<std::string> inModels,
+                                       int inQueued, core::time_point inNow)
 {
     endpoint *target = find(inId);
     if (target == nullptr || target->entry.startedMs != inStartedMs)
@@ -109,31 +110,30 @@
     target->holder = inHolder;
     target->holderReady = inReady;
     target->holderReportAt = inNow;
-    noteUnloaded(*target, inAdapters);
+    recordUnloaded(*target, inAdapters);
     target->adapters = std::move(inAdapters);
     target->queued = inQueued;
     target->models = std::move(inModels);
 }
 
-void endpoint_book::applyPeerLoads(const std::string &inInstance,
-                                   std::map<endpoint_digest, endpoint_load> inLoads,
-                                   std::set<adapter_digest> inRunning, core::time_point inNow)
+void endpoint_table::applyPeerLoads(const std::string &inInstance,
+                                    std::map<endpoint_digest, endpoint_load> inLoads,
+                                    std::set<adapter_digest> inRunning, core::time_point inNow)
 {
     mPeers.insert_or_assign(inInstance,
                             peer_loads{std::move(inLoads), std::move(inRunning), inNow});
 }
 
-int endpoint_book::openPlaces(const endpoint &inEndpoint, int inPlaces,
-                              core::time_point inNow) const
+int endpoint_table::openSlots(const endpoint &inEndpoint, int inSlots, core::time_point inNow) const
 {
     const auto &adapters = inEndpoint.adapters;
-    int open = inPlaces - static_cast<int>(adapters.resident.size() + adapters.arriving.size());
+    int open = inSlots - static_cast<int>(adapters.resident.size() + adapters.arriving.size());
     for (const auto &entry : adapters.resident) {
         const std::string &adapter = entry.first;
         const adapter_digest digest = digestOf(inEndpoint.entry.id, adapter);
         const bool isRunning = inEndpoint.ownRunning.contains(adapter)
             || std::ranges::any_of(mPeers, [&](const auto &inPeer) {
-                                   return inNow - inPeer.second.at <= sLoadAge
+                                   return inNow - inPeer.second.at <= sMaxLoadAge
                                        && inPeer.second.running.contains(digest);
                                });
         open += isRunning ? 0 : 1;
@@ -141,13 +141,13 @@
     return open - std::max(inEndpoint.queued, static_cast<int>(inEndpoint.ownWaiting.size()));
 }
 
-void endpoint_book::keepHolders(const std::set<std::string> &inLive)
+void endpoint_table::setLiveHolders(const std::set<std::string> &inLive)
 {
     for (auto &[id, target] : mEndpoints)
         target.holderReady = target.holderReady && inLive.contains(target.holder);
 }
 
-void endpoint_book::forgetHearsay()
+void endpoint_table::forgetReports()
 {
     mPeers.clear();
     for (auto &[id, target] : mEndpoints) {
@@ -156,48 +156,48 @@
     }
 }
 
-endpoint *endpoint_book::find(std::string_view inId)
+endpoint *endpoint_table::find(std::string_view inId)
 {
     const auto found = mEndpoints.find(inId);
     return found == mEndpoints.end() ? nullptr : &found->second;
 }
 
-const endpoint *endpoint_book::find(std::string_view inId) const
+const endpoint *endpoint_table::find(std::string_view inId) const
 {
     const auto found = mEndpoints.find(inId);
     return found == mEndpoints.end() ? nullptr : &found->second;
 }
 
-void endpoint_book::notePause(endpoint_digest inEndpoint, core::duration inPause)
+void endpoint_table::recordPause(endpoint_digest inEndpoint, core::duration inPause)
 {
-    if (inPause < sReadingPause || inPause > sLongestPause)
+    if (inPause < sMinPrefillPause || inPause > sMaxPrefillPause)
         return;
     const auto found = std::ranges::find_if(
         mEndpoints, [&](const auto &inEntry) { return inEntry.second.digest == inEndpoint; });
     if (found == mEndpoints.end())
         return;
-    core::duration &known = found->second.readingPause;
+    core::duration &known = found->second.prefillPause;
     if (known == core::duration::zero())
         known = inPause;
     else
         known += std::chrono::duration_cast<core::duration>((inPause - known) * sPauseWeight);
 }
 
-double endpoint_book::slowness(const endpoint &inEndpoint) const
+double endpoint_table::slowness(const endpoint &inEndpoint) const
 {
     const auto typical = mTypicalPauses.find(inEndpoint.entry.service);
-    if (inEndpoint.readingPause == core::duration::zero() || typical == mTypicalPauses.end())
+    if (inEndpoint.prefillPause == core::duration::zero() || typical == mTypicalPauses.end())
         return 1;
-    return std::chrono::duration<double>(inEndpoint.readingPause)
+    return std::chrono::duration<double>(inEndpoint.prefillPause)
         / std::chrono::duration<double>(typical->second);
 }
 
-void endpoint_book::updateTypicalPauses()
+void endpoint_table::updateTypicalPauses()
 {
     std::map<std::string, std::vector<core::duration>, std::less<>> pauses;
     for (const auto &[id, target] : mEndpoints) {
-        if (target.readingPause > core::duration::zero())
-            pauses[target.entry.service].push_back(target.readingPause);
+        if (target.prefillPause > core::duration::zero())
+            pauses[target.entry.service].push_back(target.prefillPause);
     }
     mTypicalPauses.clear();
     for (auto &[service, list] : pauses) {
@@ -207,11 +207,11 @@
     }
 }
 
-endpoint_load endpoint_book::totalLoad(const endpoint &inEndpoint, core::time_point inNow) const
+endpoint_load endpoint_table::totalLoad(const endpoint &inEndpoint, core::time_point inNow) const
 {
     endpoint_load total = inEndpoint.own;
     for (const auto &[instance, peer] : mPeers) {
-        if (inNow - peer.at > sLoadAge)
+        if (inNow - peer.at > sMaxLoadAge)
             continue;
         const auto found = peer.loads.find(inEndpoint.digest);
         if (found == peer.loads.end())
@@ -223,14 +223,14 @@
     return total;
 }
 
-bool endpoint_book::usable(const endpoint &inEndpoint, core::time_point inNow) const
+bool endpoint_table::usable(const endpoint &inEndpoint, core::time_point inNow) const
 {
     if (inEndpoint.entry.leaving || inNow < inEndpoint.notBefore)
         return false;
-    return !inEndpoint.removed || inNow - inEndpoint.removedAt < sLapseGrace;
+    return !inEndpoint.removed || inNow - inEndpoint.removedAt < sReturnTimeout;
 }
 
-std::vector<endpoint *> endpoint_book::ofService(std::string_view inService)
+std::vector<endpoint *> endpoint_table::ofService(std::string_view inService)
 {
     std::vector<endpoint *> found;
     for (auto &[id, target] : mEndpoints) {
@@ -240,16 +240,16 @@
     return found;
 }
 
-void endpoint_book::prune(core::time_point inNow)
+void endpoint_table::prune(core::time_point inNow)
 {
     std::erase_if(mEndpoints, [&](const auto &inEntry) {
         const endpoint &target = inEntry.second;
         return target.removed && target.own.requests == 0
-            && inNow - target.removedAt > sForgetAfter;
+            && inNow - target.removedAt > sRemovedRetention;
     });
     updateTypicalPauses();
     std::erase_if(mPeers,
-                  [&](const auto &inEntry) { return inNow - inEntry.second.at > sLoadAge; });
+                  [&](const auto &inEntry) { return inNow - inEntry.second.at > sMaxLoadAge; });
 }
 
 } // namespace corneltally::engines
--- /dev/null
+++ b/corneltally/engines/endpoint_table.h
@@ -0,0 +1,193 @@
+#pragma once
+
+#include "corneltally/core/boot_clock.h"
+#include "corneltally/engines/endpoint_entry.h"
+#include "corneltally/scheduling/endpoint_health.h"
+
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <optional>
+#include <set>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+namespace corneltally::engines {
+
+/// Known load of an endpoint.
+struct endpoint_load
+{
+    int requests = 0;
+    /// Prompt tokens of requests that have not returned a first event.
+    double promptTokens = 0;
+    /// Tokens of prompts and answers in the KV cache.
+    double memoryTokens = 0;
+
+    friend auto operator<=>(const endpoint_load &, const endpoint_load &) = default;
+};
+
+/// Adapter that is being loaded to an engine.
+struct arriving_adapter
+{
+    std::uint64_t version = 0;
+    core::time_point readyAt;
+
+    friend auto operator<=>(const arriving_adapter &, const arriving_adapter &) = default;
+};
+
+/// Resident and arriving adapters of an engine, by "model/adapter".
+struct residency
+{
+    std::map<std::string, std::uint64_t, std::less<>> resident;
+    std::map<std::string, arriving_adapter, std::less<>> arriving;
+
+    friend bool operator==(const residency &, const residency &) = default;
+};
+
+/// Key of an adapter: "model/adapter".
+std::string adapterKey(std::string_view inModel, std::string_view inAdapter);
+
+/// Digests that identify an endpoint, and an adapter on an engine, in messages between instances.
+using endpoint_digest = std::uint64_t;
+using adapter_digest = std::uint64_t;
+
+endpoint_digest digestOf(std::string_view inEndpoint);
+adapter_digest digestOf(std::string_view inEndpoint, std::string_view inAdapterKey);
+
+/// State of one endpoint as this instance knows it.
+struct endpoint
+{
+    endpoint_entry entry;
+    endpoint_digest digest = 0;
+    /// The entry was removed, or expired while the store was unavailable.
+    bool removed = false;
+    core::time_point removedAt;
+    /// No request is sent before this time, for example after another endpoint answered.
+    core::time_point notBefore;
+    scheduling::endpoint_health health = scheduling::endpoint_health();
+    endpoint_load own;
+    /// Running requests of this instance, by adapter.
+    std::map<std::string, int, std::less<>> ownRunning;
+    residency adapters;
+    /// Resident base models.
+    std::vector<std::string> models;
+    /// Instance that holds the engine and may order loads; empty if unknown.
+    std::string holder;
+    /// Whether the holder last reported that it may give orders.
+    bool holderReady = false;
+    core::time_point holderReportAt;
+    /// Adapters that wait for a slot, as the holder reported.
+    int queued = 0;
+    /// Adapters that this instance has requested and whose loads have not begun.
+    std::map<std::string, int, std::less<>> ownWaiting;
+    /// Recently unloaded adapters, which reload fast; the latest is last.
+    std::vector<std::string> warm;
+    /// Average over answers of the longest pause between two events while the engine prefilled
+    /// another prompt; zero before the first such pause.
+    core::duration prefillPause{};
+    /// Shared prompt parts that this instance sent, with the time of their last use.
+    std::map<std::string, core::time_point, std::less<>> recentParts;
+
+    bool holdsModel(std::string_view inModel) const;
+};
+
+/// Endpoints by id. Their state comes from the platform's list, the reports of engine holders and
+/// other instances, and the outcomes of requests.
+class endpoint_table
+{
+public:
+    /// Longest age of another instance's load report; heartbeats are sent five times a second.
+    static constexpr core::duration sMaxLoadAge = std::chrono::milliseconds(1500);
+    /// Age of a holder's report from which the platform's list determines the adapters again.
+    static constexpr core::duration sMaxHolderReportAge = std::chrono::seconds(5);
+    /// An entry that expired while the store was unavailable stays usable for this time; entries
+    /// come back within it once the store returns.
+    static constexpr core::duration sReturnTimeout = std::chrono::milliseconds(2500);
+    /// Number of unloaded adapters that an engine keeps warm.
+    static constexpr std::size_t sWarmAdapters = 40;
+    /// Shortest pause that indicates the prefill of another prompt: a step that prefills 2,048
+    /// tokens takes 55 ms, and an event holds four to six tokens (deployment sheets).
+    static constexpr core::duration sMinPrefillPause = std::chrono::milliseconds(200);
+    /// Longer pauses have other causes, for example a preempted answer.
+    static constexpr core::duration sMaxPrefillPause = std::chrono::milliseconds(900);
+    /// Weight of a new pause in the moving average.
+    static constexpr double sPauseWeight = 0.25;
+    /// A removed endpoint's state is dropped after this time.
+    static constexpr core::duration sRemovedRetention = std::chrono::seconds(30);
+
+    /// Adds or updates an endpoint. Returns true if the endpoint is new or has restarted.
+    bool apply(const endpoint_entry &inEntry, core::time_point inNow);
+
+    /// Marks an endpoint as removed. With inMayReturn, since the store was unavailable, it stays
+    /// usable for sReturnTimeout.
+    void remove(std::string_view inId, bool inMayReturn, core::time_point inNow);
+
+    /// Removes the endpoints that are not in a complete list.
+    void keepOnly(const std::vector<std::string> &inIds, bool inMayReturn, core::time_point inNow);
+
+    /// Applies a report of an engine's holder; ignored if it is about another start of the engine.
+    void applyHolderReport(std::string_view inId, std::uint64_t inStartedMs,
+                           const std::string &inHolder, bool inReady, residency inAdapters,
+                           std::vector<std::string> inModels, int inQueued, core::time_point inNow);
+
+    /// Replaces another instance's reported load of endpoints and the adapters that its requests
+    /// run on.
+    void applyPeerLoads(const std::string &inInstance,
+                        std::map<endpoint_digest, endpoint_load> inLoads,
+                        std::set<adapter_digest> inRunning, core::time_point inNow);
+
+    /// Records the longest pause in an answer of the endpoint, as this or another instance measured
+    /// it. Pauses outside sMinPrefillPause to sMaxPrefillPause are ignored, since no prefill of
+    /// another prompt caused them.
+    void recordPause(endpoint_digest inEndpoint, core::duration inPause);
+
+    /// Ratio of the engine's prefill pause to the median of its service; 1 if unknown.
+    double slowness(const endpoint &inEndpoint) const;
+
+    /// Adapters that an engine with inSlots adapter slots could take now: free slots plus resident
+    /// adapters that no request runs on, less the adapters that already wait.
+    int openSlots(const endpoint &inEndpoint, int inSlots, core::time_point inNow) const;
+
+    /// Stops loads to engines whose holder is not live, until the holder or its successor reports
+    /// again that it may give orders.
+    void setLiveHolders(const std::set<std::string> &inLive);
+
+    /// Discards the reports of other instances and holders, for example after a process pause.
+    void forgetReports();
+
+    endpoint *find(std::string_view inId);
+    const endpoint *find(std::string_view inId) const;
+
+    /// Load of an endpoint over all instances.
+    endpoint_load totalLoad(const endpoint &inEndpoint, core::time_point inNow) const;
+
+    /// Whether an endpoint may receive new requests.
+    bool usable(const endpoint &inEndpoint, core::time_point inNow) const;
+
+    /// Endpoints of a service in the order of their ids.
+    std::vector<endpoint *> ofService(std::string_view inService);
+
+    /// Drops old state and updates the median pauses; call about once a second.
+    void prune(core::time_point inNow);
+
+    const std::map<std::string, endpoint, std::less<>> &all() const { return mEndpoints; }
+
+private:
+    void updateTypicalPauses();
+
+    struct peer_loads
+    {
+        std::map<endpoint_digest, endpoint_load> loads;
+        std::set<adapter_digest> running;
+        core::time_point at;
+    };
+
+    std::map<std::string, endpoint, std::less<>> mEndpoints;
+    std::map<std::string, peer_loads, std::less<>> mPeers;
+    /// Median of the engines' prefill pauses, by service.
+    std::map<std::string, core::duration, std::less<>> mTypicalPauses;
+};
+
+} // namespace corneltally::engines
--- a/corneltally/forwarding/front_service.cpp
+++ b/corneltally/forwarding/front_service.cpp
@@ -84,7 +84,7 @@
             std::set<std::string> live{mOptions.instance};
             for (const auto &[name, domain] : inChanged.live)
                 live.insert(name);
-            mContext.book.keepHolders(live);
+            mContext.book.setLiveHolders(live);
         });
     ioRegistry.handle<fleet::heartbeat_due>(
         cName, [this](const fleet::heartbeat_due &) { sendHeartbeatPart(); });
@@ -221,7 +221,7 @@
                                      {beat->adaptersRunning.begin(), beat->adaptersRunning.end()},
                                      now);
         for (const fleet::answer_pause &seen : beat->pauses)
-            mContext.book.notePause(seen.endpoint, seen.pause);
+            mContext.book.recordPause(seen.endpoint, seen.pause);
         mContext.allowance.applyPeerTotals(inReceived.instance, inReceived.incarnation,
                                            beat->accountUses, now);
     }
@@ -257,7 +257,7 @@
 
 void front_service::paused()
 {
-    mContext.book.forgetHearsay();
+    mContext.book.forgetReports();
     mContext.allowance.resetAfterPause(core::boot_clock::now());
 }
 
--- a/corneltally/forwarding/instance.cpp
+++ b/corneltally/forwarding/instance.cpp
@@ -114,7 +114,7 @@
                            {{"seconds", std::chrono::duration<double>(inGap).count()}});
             mMetrics.count("pauses_total");
             mFront.paused();
-            mOrders.paused();
+            mOrders.processPaused();
         });
         core::logEvent(core::log_level::info, "started",
                        {{"incarnation", mIncarnation},
@@ -164,7 +164,7 @@
                                                .incarnation = mIncarnation},
                                       .failureDomain = mSettings.failureDomain};
         options.claims.handoverPause = milliseconds(mSettings.holderPauseMs);
-        options.keeper.adapterLoad = milliseconds(mSettings.adapterLoadMs);
+        options.controller.adapterLoad = milliseconds(mSettings.adapterLoadMs);
         return options;
     }
 
--- a/corneltally/orders/engine_keeper.cpp
+++ b/corneltally/orders/engine_controller.cpp
@@ -1,4 +1,4 @@
-#include "corneltally/orders/engine_keeper.h"
+#include "corneltally/orders/engine_controller.h"
 
 #include <algorithm>
 #include <utility>
@@ -9,15 +9,15 @@
 
 using operation = engines::engine_order::operation;
 
-/// Time after which the load of a base model that no report confirms is ordered again. The longest
-/// load of a deployment sheet takes 2.9 s, and longer while several run.
+/// Time after which the load of a base model is ordered again if no report confirms it. The longest
+/// load in the deployment sheets takes 2.9 s, and more while several run.
 constexpr core::duration cModelLoadTime = std::chrono::seconds(8);
 
-/// Popularity that one use adds; far above the amount at which the slots forget an adapter.
+/// Popularity that one use adds; far above the value below which adapter_slots drops an adapter.
 constexpr double cUseWeight = 1000;
 
-/// Uses that are older have no effect on any decision.
-constexpr core::duration cUseMemory = std::chrono::seconds(30);
+/// Older uses have no effect on any decision.
+constexpr core::duration cUseRetention = std::chrono::seconds(30);
 
 /// Splits "model/adapter".
 std::pair<std::string, std::string> splitKey(std::string_view inKey)
@@ -28,13 +28,13 @@
 
 } // namespace
 
-engine_keeper::engine_keeper(std::string inEngine, keeper_settings inSettings)
+engine_controller::engine_controller(std::string inEngine, controller_options inOptions)
     : mEngine(std::move(inEngine))
-    , mSettings(inSettings)
+    , mOptions(inOptions)
 { }
 
-void engine_keeper::describe(const engines::endpoint_entry &inEntry,
-                             const routing::engine_profile &inProfile, core::time_point inNow)
+void engine_controller::configure(const engines::endpoint_entry &inEntry,
+                                  const routing::engine_profile &inProfile, core::time_point inNow)
 {
     if (mEntry.startedMs != inEntry.startedMs || mEntry.address != inEntry.address) {
         mSlots.clear();
@@ -43,7 +43,7 @@
         mModels.clear();
         mWarm.clear();
         mOrders.reset();
-        mUnderWay.reset();
+        mInFlight.reset();
         mUnresolved.reset();
         mOrderNotBefore = inNow;
         mModelLoadUntil.reset();
@@ -55,14 +55,16 @@
     scheduling::slot_options slots;
     slots.slots = std::max(1, inProfile.adapterSlots);
     slots.popularityHalfLife = std::chrono::seconds(15);
-    // Most refusals mean that another order is under way, which says nothing about the adapter.
-    slots.firstBackoff = mSettings.busyPause;
+    // Most refusals mean that another order is in progress, so the adapter itself can be retried
+    // soon.
+    slots.firstBackoff = mOptions.busyDelay;
     slots.maxBackoff = std::chrono::seconds(2);
     mSlots.configure(slots);
 }
 
-void engine_keeper::asked(const std::string &inModel, const std::string &inAdapter,
-                          std::uint64_t inVersion, double inTokens, core::time_point inNow)
+void engine_controller::adapterRequested(const std::string &inModel, const std::string &inAdapter,
+                                         std::uint64_t inVersion, double inTokens,
+                                         core::time_point inNow)
 {
     const std::string key = engines::adapterKey(inModel, inAdapter);
     demand &entry = mDemand[key];
@@ -74,14 +76,14 @@
     entry.last = inNow;
 }
 
-void engine_keeper::used(const std::string &inKey, core::time_point inNow)
+void engine_controller::adapterUsed(const std::string &inKey, core::time_point inNow)
 {
     mUsed[inKey] = inNow;
     mSlots.adapterRequested(inKey, cUseWeight, inNow);
 }
 
-void engine_keeper::running(const std::string &inInstance, const std::string &inKey, bool inRunning,
-                            core::time_point inNow)
+void engine_controller::setRunning(const std::string &inInstance, const std::string &inKey,
+                                   bool inRunning, core::time_point inNow)
 {
     instance_use &use = mRunning[inInstance];
     use.at = inNow;
@@ -91,46 +93,47 @@
         use.adapters.erase(inKey);
 }
 
-void engine_keeper::runningSet(const std::string &inInstance,
-                               std::set<std::string, std::less<>> inKeys, core::time_point inNow)
+void engine_controller::setRunningAdapters(const std::string &inInstance,
+                                           std::set<std::string, std::less<>> inKeys,
+                                           core::time_point inNow)
 {
     mRunning.insert_or_assign(inInstance, instance_use{std::move(inKeys), inNow});
 }
 
-bool engine_keeper::isRunning(const std::string &inKey, core::time_point inNow) const
+bool engine_controller::isRunning(const std::string &inKey, core::time_point inNow) const
 {
     return std::ranges::any_of(mRunning, [&](const auto &inEntry) {
-        return inNow - inEntry.second.at < mSettings.useTime
+        return inNow - inEntry.second.at < mOptions.maxUseAge
             && inEntry.second.adapters.contains(inKey);
     });
 }
 
-void engine_keeper::missing(const std::string &inKey, core::time_point inNow)
+void engine_controller::adapterMissing(const std::string &inKey, core::time_point inNow)
 {
-    mNextReport = std::min(mNextReport, inNow + mSettings.resyncPeriod);
+    mNextReport = std::min(mNextReport, inNow + mOptions.resyncPeriod);
     const auto resident = mVersions.find(inKey);
     if (resident == mVersions.end())
         return;
-    mArriving[inKey] = {resident->second, inNow + mSettings.lateLoadPause};
+    mArriving[inKey] = {resident->second, inNow + mOptions.lateLoadDelay};
     mVersions.erase(resident);
     ++mRevision;
 }
 
-void engine_keeper::versionNamed(const std::string &inKey, std::uint64_t inVersion,
-                                 core::time_point inNow)
+void engine_controller::versionNamed(const std::string &inKey, std::uint64_t inVersion,
+                                     core::time_point inNow)
 {
     named_version &named = mNamed[inKey];
     if (named.version < inVersion)
         named = {inVersion, inNow};
 }
 
-std::uint64_t engine_keeper::namedVersion(const std::string &inKey) const
+std::uint64_t engine_controller::namedVersion(const std::string &inKey) const
 {
     const auto found = mNamed.find(inKey);
     return found == mNamed.end() ? 0 : found->second.version;
 }
 
-engines::engine_order engine_keeper::makeOrder(operation inKind, std::string_view inKey) const
+engines::engine_order engine_controller::makeOrder(operation inKind, std::string_view inKey) const
 {
     auto [model, adapter] = splitKey(inKey);
     engines::engine_order order{.kind = inKind, .model = model, .adapter = adapter};
@@ -140,14 +143,14 @@
     return order;
 }
 
-std::optional<engines::engine_order> engine_keeper::nextOrder(core::time_point inNow)
+std::optional<engines::engine_order> engine_controller::nextOrder(core::time_point inNow)
 {
-    if (mUnderWay) {
-        // An order without answer is given again: only one of the two can be accepted.
-        if (mUnderWay->sent || inNow < mUnderWay->notBefore)
+    if (mInFlight) {
+        // An order without answer is sent again: only one of the two can be accepted.
+        if (mInFlight->sent || inNow < mInFlight->notBefore)
             return std::nullopt;
-        mUnderWay->sent = true;
-        return mUnderWay->order;
+        mInFlight->sent = true;
+        return mInFlight->order;
     }
     if (!inSync() || inNow < mOrderNotBefore)
         return std::nullopt;
@@ -166,11 +169,11 @@
         mVersions.erase(key);
     }
     ++mRevision;
-    mUnderWay = under_way{.order = *order, .sent = true};
+    mInFlight = in_flight_order{.order = *order, .sent = true};
     return order;
 }
 
-std::optional<engines::engine_order> engine_keeper::modelOrder(core::time_point inNow)
+std::optional<engines::engine_order> engine_controller::modelOrder(core::time_point inNow)
 {
     if (!mModels.empty() || mProfile.models.empty())
         return std::nullopt;
@@ -184,18 +187,18 @@
     return makeOrder(operation::load, model.name + "/");
 }
 
-std::optional<engines::engine_order> engine_keeper::replacementOrder(core::time_point inNow)
+std::optional<engines::engine_order> engine_controller::replacementOrder(core::time_point inNow)
 {
-    if (static_cast<int>(mArriving.size()) >= mSettings.maxArriving)
+    if (static_cast<int>(mArriving.size()) >= mOptions.maxArriving)
         return std::nullopt;
     for (const auto &[key, version] : mVersions) {
         if (version >= namedVersion(key)
             || mSlots.stateOf(key) != scheduling::adapter_slots::state::resident)
             continue;
         const auto named = mNamed.find(key);
-        if (isRunning(key, inNow) && inNow - named->second.at < mSettings.replacementPatience)
+        if (isRunning(key, inNow) && inNow - named->second.at < mOptions.replacementDelay)
             continue;
-        // An old adapter that nobody asks for makes room instead of being fetched again.
+        // An outdated adapter without demand is unloaded rather than fetched again.
         const auto used = mUsed.find(key);
         if (!mDemand.contains(key)
             && (used == mUsed.end() || inNow - used->second > std::chrono::seconds(3)))
@@ -205,19 +208,19 @@
     return std::nullopt;
 }
 
-std::optional<engines::engine_order> engine_keeper::adapterOrder(core::time_point inNow)
+std::optional<engines::engine_order> engine_controller::adapterOrder(core::time_point inNow)
 {
-    if (static_cast<int>(mArriving.size()) >= mSettings.maxArriving)
+    if (static_cast<int>(mArriving.size()) >= mOptions.maxArriving)
         return std::nullopt;
     std::erase_if(mDemand, [&](const auto &inEntry) {
-        return inNow - inEntry.second.last > mSettings.demandAge;
+        return inNow - inEntry.second.last > mOptions.maxDemandAge;
     });
     std::vector<scheduling::adapter_demand> demands;
     for (const auto &[key, entry] : mDemand) {
         if (std::ranges::find(mModels, entry.model) == mModels.end())
             continue;
-        // No room is made for an adapter that may not be fetched yet.
-        if (!mFleet.mayFetch && !isWarm(key)
+        // No slot is freed for an adapter that may not be fetched yet.
+        if (!mLoadState.mayFetch && !isWarm(key)
             && mSlots.stateOf(key) == scheduling::adapter_slots::state::absent)
             continue;
         demands.push_back(
@@ -229,7 +232,8 @@
              .startTag = static_cast<double>(entry.first.time_since_epoch().count())});
     }
     std::ranges::sort(demands, {}, &scheduling::adapter_demand::startTag);
-    // An engine that is to unload an adapter in use takes no other order until its requests end.
+    // An engine that unloads an adapter in use takes no other order until the adapter's requests
+    // end.
     const auto inUse = [&](const std::string &inKey) { return isRunning(inKey, inNow); };
     const scheduling::slot_decision decision = mSlots.decide(demands, inUse, inNow);
     switch (decision.kind) {
@@ -243,46 +247,46 @@
     return makeOrder(operation::unload, decision.adapter);
 }
 
-void engine_keeper::orderEnded(const engines::engine_order &inOrder,
-                               engines::order_outcome inOutcome, core::time_point inNow)
+void engine_controller::orderEnded(const engines::engine_order &inOrder,
+                                   engines::order_outcome inOutcome, core::time_point inNow)
 {
-    // After a new start of the engine, orders to the former one have no meaning any more.
-    if (!mUnderWay || mUnderWay->order != inOrder)
+    // Outcomes of orders from before a restart of the engine are ignored.
+    if (!mInFlight || mInFlight->order != inOrder)
         return;
-    const engines::engine_order order = mUnderWay->order;
-    const bool repeated = mUnderWay->repeated;
-    // An order that was refused changes nothing, so a report from before it still holds.
+    const engines::engine_order order = mInFlight->order;
+    const bool repeated = mInFlight->repeated;
+    // A refused order changes nothing, so a report from before it stays valid.
     if (inOutcome == engines::order_outcome::accepted || inOutcome == engines::order_outcome::holds
         || inOutcome == engines::order_outcome::unknown)
         mLastChangeAt = inNow;
     if (inOutcome == engines::order_outcome::unknown) {
-        mUnderWay->sent = false;
-        mUnderWay->repeated = true;
-        mUnderWay->notBefore = inNow + mSettings.repeatPause;
+        mInFlight->sent = false;
+        mInFlight->repeated = true;
+        mInFlight->notBefore = inNow + mOptions.repeatDelay;
         return;
     }
-    mUnderWay.reset();
+    mInFlight.reset();
     if (inOutcome == engines::order_outcome::accepted
         || inOutcome == engines::order_outcome::holds) {
         mOrders = order.expectedOrders + 1;
-        settled(order, true, inNow);
+        finishOrder(order, true, inNow);
         return;
     }
-    // A report must be newer than the order to show what became of it; further refusals must not
-    // put it off.
-    mNextReport = std::min(mNextReport, inNow + mSettings.reportLag);
-    mOrderNotBefore = inNow + mSettings.busyPause;
+    // Only a report that is newer than the order shows its effect; further refusals must not delay
+    // the report.
+    mNextReport = std::min(mNextReport, inNow + mOptions.reportLag);
+    mOrderNotBefore = inNow + mOptions.busyDelay;
     if (inOutcome == engines::order_outcome::conflict && repeated) {
-        // The first of the two may have been accepted, or another order is under way.
+        // The first of the two may have been accepted, or another order is in progress.
         mUnresolved = order;
         ++mRevision;
         return;
     }
-    settled(order, false, inNow);
+    finishOrder(order, false, inNow);
 }
 
-void engine_keeper::settled(const engines::engine_order &inOrder, bool inDone,
-                            core::time_point inNow)
+void engine_controller::finishOrder(const engines::engine_order &inOrder, bool inDone,
+                                    core::time_point inNow)
 {
     ++mRevision;
     if (inOrder.adapter.empty())
@@ -291,12 +295,12 @@
     if (inOrder.kind == operation::unload) {
         mSlots.unloadEnded(key, inDone, inNow);
         if (inDone)
-            noteUnloaded(key);
+            recordUnloaded(key);
         return;
     }
     if (!inDone) {
         mSlots.loadEnded(key, false, inNow);
-        // A replacement that was refused leaves the older version in place.
+        // After a refused replacement the older version stays resident.
         if (mVersions.contains(key))
             mSlots.loadEnded(key, true, inNow);
         return;
@@ -306,33 +310,33 @@
     mArriving[key] = {inOrder.version, readyAt};
 }
 
-void engine_keeper::noteUnloaded(const std::string &inKey)
+void engine_controller::recordUnloaded(const std::string &inKey)
 {
     std::erase(mWarm, inKey);
     mWarm.push_back(inKey);
-    if (mWarm.size() > mSettings.warmAdapters)
+    if (mWarm.size() > mOptions.warmAdapters)
         mWarm.erase(mWarm.begin());
 }
 
-core::duration engine_keeper::loadTime(const std::string &inKey) const
+core::duration engine_controller::loadTime(const std::string &inKey) const
 {
     const auto scaled = [this](double inFactor) {
-        return std::chrono::duration_cast<core::duration>(mSettings.adapterLoad * inFactor);
+        return std::chrono::duration_cast<core::duration>(mOptions.adapterLoad * inFactor);
     };
     if (isWarm(inKey))
-        return scaled(mSettings.warmLoad);
-    const double underWay = arriving() + 1 + mFleet.arrivingElsewhere;
-    return scaled(std::clamp(underWay / mFleet.atFullSpeed, 1.0, mSettings.maxSlowDown));
+        return scaled(mOptions.warmLoad);
+    const double inFlight = arriving() + 1 + mLoadState.arrivingElsewhere;
+    return scaled(std::clamp(inFlight / mLoadState.fullSpeedLoads, 1.0, mOptions.maxSlowDown));
 }
 
-bool engine_keeper::isWarm(const std::string &inKey) const
+bool engine_controller::isWarm(const std::string &inKey) const
 {
     return std::ranges::find(mWarm, inKey) != mWarm.end();
 }
 
-/// Settles an order that was sent twice by what a later report shows.
-void engine_keeper::resolve(const engines::engine_order &inOrder, bool inPresent,
-                            core::time_point inNow)
+/// Completes an order that was sent twice with the state that a later report shows.
+void engine_controller::resolve(const engines::engine_order &inOrder, bool inPresent,
+                                core::time_point inNow)
 {
     if (inOrder.adapter.empty())
         return;
@@ -344,7 +348,7 @@
     mSlots.loadEnded(key, inPresent, inNow);
 }
 
-void engine_keeper::advance(core::time_point inNow)
+void engine_controller::advance(core::time_point inNow)
 {
     for (auto entry = mArriving.begin(); entry != mArriving.end();) {
         if (entry->second.readyAt > inNow) {
@@ -357,35 +361,36 @@
         ++mRevision;
         entry = mArriving.erase(entry);
     }
-    std::erase_if(mUsed, [&](const auto &inEntry) { return inNow - inEntry.second > cUseMemory; });
+    std::erase_if(mUsed,
+                  [&](const auto &inEntry) { return inNow - inEntry.second > cUseRetention; });
     std::erase_if(mRunning,
-                  [&](const auto &inEntry) { return inNow - inEntry.second.at > cUseMemory; });
+                  [&](const auto &inEntry) { return inNow - inEntry.second.at > cUseRetention; });
     mSlots.prune(inNow);
 }
 
-bool engine_keeper::wantsReport(core::time_point inNow) const
+bool engine_controller::reportDue(core::time_point inNow) const
 {
-    return !mReportUnderWay && inNow >= mNextReport;
+    return !mReportInFlight && inNow >= mNextReport;
 }
 
-void engine_keeper::reportStarted(core::time_point inNow)
+void engine_controller::reportStarted(core::time_point inNow)
 {
-    mReportUnderWay = true;
+    mReportInFlight = true;
     mReportStartedAt = inNow;
 }
 
-void engine_keeper::reportEnded(const std::optional<engines::engine_report> &inReport,
-                                core::time_point inNow)
+void engine_controller::reportEnded(const std::optional<engines::engine_report> &inReport,
+                                    core::time_point inNow)
 {
-    mReportUnderWay = false;
-    mNextReport = inNow + (inReport && inSync() ? mSettings.reportPeriod : mSettings.resyncPeriod);
+    mReportInFlight = false;
+    mNextReport = inNow + (inReport && inSync() ? mOptions.reportPeriod : mOptions.resyncPeriod);
     if (!inReport || inReport->startedMs != mEntry.startedMs)
         return;
-    const core::time_point described = mReportStartedAt - mSettings.reportLag;
-    // While an order is under way, or one was given since, the report may be older than it.
-    if (mUnderWay || described < mLastChangeAt) {
+    const core::time_point described = mReportStartedAt - mOptions.reportLag;
+    // The report may be older than an order that is in flight or was sent since.
+    if (mInFlight || described < mLastChangeAt) {
         if (mOrders != inReport->orders)
-            mNextReport = inNow + mSettings.resyncPeriod;
+            mNextReport = inNow + mOptions.resyncPeriod;
         return;
     }
     mOrders = inReport->orders;
@@ -405,7 +410,7 @@
             arriving.push_back(engines::adapterKey(model.name, adapter.name));
             mArriving.try_emplace(
                 arriving.back(),
-                engines::arriving_adapter{adapter.version, inNow + mSettings.adapterLoad / 2});
+                engines::arriving_adapter{adapter.version, inNow + mOptions.adapterLoad / 2});
         }
     }
     if (mUnresolved) {
@@ -415,7 +420,7 @@
                     || std::ranges::find(arriving, key) != arriving.end(),
                 inNow);
         mUnresolved.reset();
-        mNextReport = inNow + mSettings.reportPeriod;
+        mNextReport = inNow + mOptions.reportPeriod;
     }
     mSlots.adaptersReported(resident, arriving, described, inNow);
     std::erase_if(mArriving, [&](const auto &inEntry) {
@@ -436,14 +441,14 @@
     ++mRevision;
 }
 
-int engine_keeper::queued() const
+int engine_controller::queued() const
 {
     return static_cast<int>(std::ranges::count_if(mDemand, [this](const auto &inEntry) {
         return mSlots.stateOf(inEntry.first) == scheduling::adapter_slots::state::absent;
     }));
 }
 
-std::vector<std::string> engine_keeper::knownAdapters() const
+std::vector<std::string> engine_controller::knownAdapters() const
 {
     std::vector<std::string> names;
     for (const auto &[key, version] : mVersions)
@@ -453,7 +458,7 @@
     return names;
 }
 
-engines::residency engine_keeper::adapters() const
+engines::residency engine_controller::adapters() const
 {
     engines::residency adapters;
     for (const auto &[key, version] : mVersions) {
--- a/corneltally/orders/order_service.cpp
+++ b/corneltally/orders/order_service.cpp
@@ -16,29 +16,30 @@
 
 namespace {
 
-/// Period of the checks that no message starts: lapsed loads, reports, claims.
+/// Period of the checks that no message triggers: ended loads, reports, claims.
 constexpr core::duration cTickPeriod = std::chrono::milliseconds(25);
-/// Adapters on their way over all engines beyond which loads slow down in proportion: the greater
-/// of a number and a share of the engines (deployment sheets: 8 for 12 engines, 40 and 32 for 90).
-constexpr double cLeastParallelLoads = 8;
+/// Number of parallel loads over all engines beyond which loads slow down in proportion: the
+/// greater of a fixed number and a share of the engines (deployment sheets: 8 for 12 engines, 40
+/// and 32 for 90).
+constexpr double cMinParallelLoads = 8;
 constexpr double cParallelLoadsPerEngine = 0.35;
-/// Pause between two attempts to claim engines.
-constexpr core::duration cClaimPause = std::chrono::milliseconds(400);
-/// Instances of a failure domain claim one after the other with this delay. Of two that append
-/// behind the same record one is refused, and each append wakes the reads of all instances.
-constexpr core::duration cClaimStep = std::chrono::milliseconds(100);
-/// Time for a look at the claims before another one is asked for. The store answers in some
-/// milliseconds, and while it is away each call to it is priced.
-constexpr core::duration cLookTime = std::chrono::milliseconds(600);
-/// Claims on engines that are gone are removed together with other claims, or after this time.
-constexpr core::duration cObsoleteTime = std::chrono::seconds(4);
-/// While all other instances have said within this time that they hear this one, its right to
-/// order lasts for 11 s after a look, and its reads of the claims wait for the longer time. It
-/// leaves 7 s of orders when the store goes away.
-constexpr core::duration cHeardAge = std::chrono::milliseconds(1500);
-constexpr core::duration cCalmWait = std::chrono::milliseconds(4000);
-constexpr core::duration cShortWait = std::chrono::milliseconds(2200);
-/// The state of an engine is repeated this often for instances that missed it.
+/// Delay between two attempts to claim engines.
+constexpr core::duration cClaimRetryDelay = std::chrono::milliseconds(400);
+/// Delay between the claims of the instances of a failure domain. If two instances append after the
+/// same record, one is refused, and each append ends the long polls of all instances.
+constexpr core::duration cClaimDelayStep = std::chrono::milliseconds(100);
+/// Timeout of a poll of the claims before another one is requested. The store answers in some
+/// milliseconds, and each call to it has a price while it is unavailable.
+constexpr core::duration cPollTimeout = std::chrono::milliseconds(600);
+/// Claims on removed engines are removed together with the next claims, or after this time.
+constexpr core::duration cObsoleteClaimDelay = std::chrono::seconds(4);
+/// While all other instances have reported this one as live within cMaxLiveReportAge, its right to
+/// order lasts for 11 s after a read, and its long polls of the claims wait for cLongPollWait. This
+/// leaves 7 s in which it may order when the store becomes unavailable.
+constexpr core::duration cMaxLiveReportAge = std::chrono::milliseconds(1500);
+constexpr core::duration cLongPollWait = std::chrono::milliseconds(4000);
+constexpr core::duration cShortPollWait = std::chrono::milliseconds(2200);
+/// Period in which the state of an engine is repeated for instances that missed it.
 constexpr core::duration cRepeatPeriod = std::chrono::seconds(2);
 
 std::string_view outcomeName(engines::order_outcome inOutcome)
@@ -81,12 +82,12 @@
     mRegistry.handle<catalog::fleet_topic_updated>(
         cName, [this](const catalog::fleet_topic_updated &inUpdate) { topicUpdated(inUpdate); });
     mRegistry.handle<catalog::fleet_topic_append_ended>(
-        cName, [this](const catalog::fleet_topic_append_ended &) { mAppendUnderWay = false; });
+        cName, [this](const catalog::fleet_topic_append_ended &) { mAppendInFlight = false; });
     mRegistry.handle<catalog::configuration_changed>(
         cName, [this](const catalog::configuration_changed &inChanged) {
             mTable = inChanged.table;
             for (auto &[engine, state] : mHeld)
-                describe(engine);
+                configureEngine(engine);
         });
     mRegistry.handle<catalog::adapter_version_named>(
         cName, [this](const catalog::adapter_version_named &inNamed) { versionNamed(inNamed); });
@@ -96,7 +97,7 @@
     mRegistry.handle<catalog::endpoint_removed>(cName,
                                                 [this](const catalog::endpoint_removed &inRemoved) {
                                                     if (!inRemoved.mayReturn)
-                                                        endpointGone(inRemoved.id);
+                                                        endpointRemoved(inRemoved.id);
                                                 });
     mRegistry.handle<catalog::endpoints_listed>(
         cName, [this](const catalog::endpoints_listed &inListed) {
@@ -104,7 +105,7 @@
                 return;
             for (const fleet::fleet_node &engine : knownEngines()) {
                 if (std::ranges::find(inListed.ids, engine.name) == inListed.ids.end())
-                    endpointGone(engine.name);
+                    endpointRemoved(engine.name);
             }
         });
     mRegistry.handle<fleet::instances_changed>(cName,
@@ -117,28 +118,28 @@
     mRegistry.handle<fleet::mesh_received>(cName, [this](const fleet::mesh_received &inReceived) {
         mClaims.messageReceived(inReceived.instance, core::boot_clock::now());
         if (const auto *request = std::get_if<fleet::load_wanted>(&inReceived.body))
-            wanted(*request, inReceived.instance);
+            loadRequested(*request, inReceived.instance);
         else if (const auto *report = std::get_if<fleet::adapter_missing>(&inReceived.body))
-            missing(*report);
+            adapterMissing(*report);
         else if (const auto *change = std::get_if<fleet::adapter_running>(&inReceived.body))
-            running(inReceived.instance, *change);
+            adapterRunning(inReceived.instance, *change);
         else if (const auto *state = std::get_if<fleet::engine_state>(&inReceived.body))
-            mElsewhere[state->endpoint] = state->adapters;
+            mRemoteAdapters[state->endpoint] = state->adapters;
         else if (const auto *beat = std::get_if<fleet::heartbeat>(&inReceived.body)) {
             if (beat->receiverLive)
                 mClaims.reportedLiveBy(inReceived.instance, core::boot_clock::now());
-            used(inReceived.instance, beat->adapterUses, beat->adaptersRunning);
+            adaptersUsed(inReceived.instance, beat->adapterUses, beat->adaptersRunning);
         }
     });
     mRegistry.handle<local_load_wanted>(
-        cName, [this](const local_load_wanted &inLocal) { wanted(inLocal.wanted, "self"); });
+        cName, [this](const local_load_wanted &inLocal) { loadRequested(inLocal.wanted, "self"); });
     mRegistry.handle<local_adapter_missing>(
-        cName, [this](const local_adapter_missing &inLocal) { missing(inLocal.missing); });
+        cName, [this](const local_adapter_missing &inLocal) { adapterMissing(inLocal.missing); });
     mRegistry.handle<local_adapter_uses>(cName, [this](const local_adapter_uses &inLocal) {
-        used(mOptions.self.instance, inLocal.sent, inLocal.running);
+        adaptersUsed(mOptions.self.instance, inLocal.sent, inLocal.running);
     });
     mRegistry.handle<local_adapter_running>(cName, [this](const local_adapter_running &inLocal) {
-        running(mOptions.self.instance, inLocal.change);
+        adapterRunning(mOptions.self.instance, inLocal.change);
     });
 }
 
@@ -147,9 +148,9 @@
     mTimer.startRepeating(cTickPeriod);
 }
 
-void order_service::paused()
+void order_service::processPaused()
 {
-    // What the claims said before the pause is outdated; the next read confirms them anew.
+    // The claims from before the pause may be outdated; the next read confirms them.
     mClaims.invalidateRead();
     mRegistry.post("catalog", catalog::fleet_topic_poll{});
     for (auto &[engine, state] : mHeld)
@@ -187,8 +188,8 @@
     for (const auto &[engine, domain] : knownEngines()) {
         const bool holds = mClaims.holds(engine);
         if (holds && !mHeld.contains(engine)) {
-            mHeld.emplace(engine, held{engine_keeper(engine, mOptions.keeper)});
-            describe(engine);
+            mHeld.emplace(engine, held_engine{engine_controller(engine, mOptions.controller)});
+            configureEngine(engine);
         } else if (!holds) {
             mHeld.erase(engine);
         }
@@ -212,7 +213,7 @@
     return engines;
 }
 
-void order_service::describe(const std::string &inEngine)
+void order_service::configureEngine(const std::string &inEngine)
 {
     const auto entry = mEntries.find(inEngine);
     const auto found = mHeld.find(inEngine);
@@ -221,23 +222,23 @@
     const routing::engine_profile *profile = profileOf(entry->second);
     if (profile == nullptr)
         return;
-    engine_keeper &keeper = found->second.keeper;
-    keeper.describe(entry->second, *profile, core::boot_clock::now());
+    engine_controller &controller = found->second.controller;
+    controller.configure(entry->second, *profile, core::boot_clock::now());
     for (const auto &[key, version] : mNamedVersions)
-        keeper.versionNamed(key, version, core::boot_clock::now());
+        controller.versionNamed(key, version, core::boot_clock::now());
 }
 
 void order_service::endpointChanged(const engines::endpoint_entry &inEntry)
 {
     mEntries.insert_or_assign(inEntry.id, inEntry);
-    describe(inEntry.id);
+    configureEngine(inEntry.id);
 }
 
-void order_service::endpointGone(const std::string &inId)
+void order_service::endpointRemoved(const std::string &inId)
 {
     mEntries.erase(inId);
     mHeld.erase(inId);
-    mElsewhere.erase(inId);
+    mRemoteAdapters.erase(inId);
 }
 
 void order_service::versionNamed(const catalog::adapter_version_named &inNamed)
@@ -246,25 +247,27 @@
     std::uint64_t &known = mNamedVersions[key];
     known = std::max(known, inNamed.version);
     for (auto &[engine, state] : mHeld) {
-        state.keeper.versionNamed(key, known, core::boot_clock::now());
-        pump(engine, state, core::boot_clock::now());
+        state.controller.versionNamed(key, known, core::boot_clock::now());
+        advanceEngine(engine, state, core::boot_clock::now());
     }
 }
 
-/// Looks at the claims are rare while nobody can claim engines of this instance.
-void order_service::tendLooks(core::time_point inNow)
+/// Lengthens the long polls of the claims while no other instance can claim this one's engines.
+void order_service::updatePollWait(core::time_point inNow)
 {
-    const bool isCalm = mClaims.isReportedLiveByAll(cHeardAge, inNow);
-    if (isCalm == mCalm)
+    const bool isReportedLive = mClaims.isReportedLiveByAll(cMaxLiveReportAge, inNow);
+    if (isReportedLive == mReportedLiveByAll)
         return;
-    mCalm = isCalm;
-    mRegistry.post("catalog", catalog::fleet_topic_wait_changed{isCalm ? cCalmWait : cShortWait});
+    mReportedLiveByAll = isReportedLive;
+    mRegistry.post(
+        "catalog",
+        catalog::fleet_topic_wait_changed{isReportedLive ? cLongPollWait : cShortPollWait});
 }
 
-/// Delay of this instance's claims behind those of others of its failure domain.
+/// Delay of this instance's claims after those of the other instances of its failure domain.
 core::duration order_service::claimDelay() const
 {
-    return cClaimStep * std::ranges::count_if(mLive, [this](const fleet::fleet_node &inOther) {
+    return cClaimDelayStep * std::ranges::count_if(mLive, [this](const fleet::fleet_node &inOther) {
                return inOther.failureDomain == mOptions.failureDomain
                    && inOther.name < mOptions.self.instance;
            });
@@ -272,101 +275,102 @@
 
 void order_service::claimEngines(core::time_point inNow)
 {
-    if (mAppendUnderWay || !mTopicLoaded || inNow < mClaimNotBefore)
+    if (mAppendInFlight || !mTopicLoaded || inNow < mClaimNotBefore)
         return;
     const std::vector<fleet::fleet_node> existing = knownEngines();
     std::vector<store::record> records;
     for (const std::string &engine : mClaims.enginesToClaim(existing, mLive, inNow))
         records.push_back(fleet::claimRecord(engine, mOptions.self));
-    const core::duration delay = records.empty() ? cObsoleteTime : claimDelay();
+    const core::duration delay = records.empty() ? cObsoleteClaimDelay : claimDelay();
     for (const std::string &engine : mClaims.obsoleteClaims(existing))
         records.push_back(fleet::removedClaim(engine));
     if (records.empty()) {
-        mClaimWantedAt.reset();
+        mClaimDueAt.reset();
         return;
     }
-    if (!mClaimWantedAt)
-        mClaimWantedAt = inNow;
-    if (inNow - *mClaimWantedAt < delay)
+    if (!mClaimDueAt)
+        mClaimDueAt = inNow;
+    if (inNow - *mClaimDueAt < delay)
         return;
     if (!mClaims.hasFreshRead(inNow)) {
-        if (inNow - mLookAskedAt >= cLookTime) {
-            mLookAskedAt = inNow;
+        if (inNow - mPollRequestedAt >= cPollTimeout) {
+            mPollRequestedAt = inNow;
             mRegistry.post("catalog", catalog::fleet_topic_poll{});
         }
         return;
     }
-    mAppendUnderWay = true;
-    mClaimNotBefore = inNow + cClaimPause;
+    mAppendInFlight = true;
+    mClaimNotBefore = inNow + cClaimRetryDelay;
     core::logEvent(core::log_level::info, "claim_appended",
                    {{"records", records.size()}, {"expected_end", mTopicEnd}});
     mRegistry.post("catalog", catalog::fleet_topic_append{std::string(cName), records, mTopicEnd});
 }
 
-void order_service::wanted(const fleet::load_wanted &inWanted, std::string_view inFrom)
+void order_service::loadRequested(const fleet::load_wanted &inWanted, std::string_view inFrom)
 {
     const auto found = mHeld.find(inWanted.endpoint);
     const core::time_point now = core::boot_clock::now();
-    if (found == mHeld.end() || found->second.keeper.entry().startedMs != inWanted.startedMs) {
+    if (found == mHeld.end() || found->second.controller.entry().startedMs != inWanted.startedMs) {
         core::logEvent(core::log_level::info, "load_not_mine",
                        {{"endpoint", inWanted.endpoint}, {"from", inFrom}});
         return;
     }
-    found->second.keeper.asked(inWanted.model, inWanted.adapter, inWanted.version, inWanted.tokens,
-                               now);
-    pump(inWanted.endpoint, found->second, now);
+    found->second.controller.adapterRequested(inWanted.model, inWanted.adapter, inWanted.version,
+                                              inWanted.tokens, now);
+    advanceEngine(inWanted.endpoint, found->second, now);
 }
 
-void order_service::missing(const fleet::adapter_missing &inMissing)
+void order_service::adapterMissing(const fleet::adapter_missing &inMissing)
 {
     const auto found = mHeld.find(inMissing.endpoint);
-    if (found == mHeld.end() || found->second.keeper.entry().startedMs != inMissing.startedMs)
+    if (found == mHeld.end() || found->second.controller.entry().startedMs != inMissing.startedMs)
         return;
     const core::time_point now = core::boot_clock::now();
-    found->second.keeper.missing(inMissing.adapter, now);
-    pump(inMissing.endpoint, found->second, now);
+    found->second.controller.adapterMissing(inMissing.adapter, now);
+    advanceEngine(inMissing.endpoint, found->second, now);
 }
 
-void order_service::used(const std::string &inInstance,
-                         const std::vector<engines::adapter_digest> &inSent,
-                         const std::vector<engines::adapter_digest> &inRunning)
+void order_service::adaptersUsed(const std::string &inInstance,
+                                 const std::vector<engines::adapter_digest> &inSent,
+                                 const std::vector<engines::adapter_digest> &inRunning)
 {
     const core::time_point now = core::boot_clock::now();
     const std::set<engines::adapter_digest> running(inRunning.begin(), inRunning.end());
     for (auto &[engine, state] : mHeld) {
         std::set<std::string, std::less<>> runningHere;
-        for (const std::string &adapter : state.keeper.knownAdapters()) {
+        for (const std::string &adapter : state.controller.knownAdapters()) {
             const engines::adapter_digest digest = engines::digestOf(engine, adapter);
             if (std::ranges::find(inSent, digest) != inSent.end())
-                state.keeper.used(adapter, now);
+                state.controller.adapterUsed(adapter, now);
             if (running.contains(digest))
                 runningHere.insert(adapter);
         }
-        state.keeper.runningSet(inInstance, std::move(runningHere), now);
+        state.controller.setRunningAdapters(inInstance, std::move(runningHere), now);
     }
 }
 
-void order_service::running(const std::string &inInstance, const fleet::adapter_running &inChange)
+void order_service::adapterRunning(const std::string &inInstance,
+                                   const fleet::adapter_running &inChange)
 {
     const auto found = mHeld.find(inChange.endpoint);
-    if (found == mHeld.end() || found->second.keeper.entry().startedMs != inChange.startedMs)
+    if (found == mHeld.end() || found->second.controller.entry().startedMs != inChange.startedMs)
         return;
     const core::time_point now = core::boot_clock::now();
-    found->second.keeper.running(inInstance, inChange.adapter, inChange.running, now);
-    // A place that can be made free may be what a request waits for.
+    found->second.controller.setRunning(inInstance, inChange.adapter, inChange.running, now);
+    // A queued request may be waiting for the slot that can now be freed.
     if (!inChange.running)
-        pump(inChange.endpoint, found->second, now);
+        advanceEngine(inChange.endpoint, found->second, now);
 }
 
 void order_service::tick()
 {
     const core::time_point now = core::boot_clock::now();
-    tendLooks(now);
+    updatePollWait(now);
     claimEngines(now);
     for (auto &[engine, state] : mHeld) {
-        pump(engine, state, now);
-        if (state.keeper.wantsReport(now) && state.keeper.entry().address.port != 0)
-            askReport(engine, state, now);
+        advanceEngine(engine, state, now);
+        if (state.controller.reportDue(now) && state.controller.entry().address.port != 0)
+            requestReport(engine, state, now);
     }
 }
 
@@ -375,9 +379,9 @@
     std::size_t count = 0;
     for (const auto &[engine, state] : mHeld) {
         if (engine != inEngine)
-            count += state.keeper.adapters().arriving.size();
+            count += state.controller.adapters().arriving.size();
     }
-    for (const auto &[engine, adapters] : mElsewhere) {
+    for (const auto &[engine, adapters] : mRemoteAdapters) {
         if (!mHeld.contains(engine))
             count += static_cast<std::size_t>(
                 std::ranges::count_if(adapters.arriving, [&](const auto &inEntry) {
@@ -387,29 +391,30 @@
     return static_cast<int>(count);
 }
 
-/// Loads beyond what the store carries at full speed make all of them slower, so that they begin
-/// one after the other. Each instance may always have its share of them under way, since what it
-/// knows of the others is some milliseconds old.
-load_state order_service::loadsOf(const std::string &inEngine, core::time_point inNow) const
+/// Loads beyond what the weight store serves at full speed slow down all loads, so further loads
+/// wait until others end. Each instance may always have its share of them in flight, since its
+/// state of the other instances is some milliseconds old.
+load_state order_service::loadStateOf(const std::string &inEngine, core::time_point inNow) const
 {
     load_state loads{.arrivingElsewhere = arrivingElsewhere(inEngine, inNow)};
-    loads.atFullSpeed = std::max(cLeastParallelLoads,
-                                 cParallelLoadsPerEngine * static_cast<double>(mEntries.size()));
+    loads.fullSpeedLoads = std::max(cMinParallelLoads,
+                                    cParallelLoadsPerEngine * static_cast<double>(mEntries.size()));
     int own = 0;
     for (const auto &[engine, state] : mHeld)
-        own += state.keeper.arriving();
-    const int all = loads.arrivingElsewhere + mHeld.at(inEngine).keeper.arriving();
-    const double share = loads.atFullSpeed / static_cast<double>(mLive.size() + 1);
-    loads.mayFetch = all < loads.atFullSpeed || own < std::floor(share);
+        own += state.controller.arriving();
+    const int all = loads.arrivingElsewhere + mHeld.at(inEngine).controller.arriving();
+    const double share = loads.fullSpeedLoads / static_cast<double>(mLive.size() + 1);
+    loads.mayFetch = all < loads.fullSpeedLoads || own < std::floor(share);
     return loads;
 }
 
-void order_service::pump(const std::string &inEngine, held &ioHeld, core::time_point inNow)
+void order_service::advanceEngine(const std::string &inEngine, held_engine &ioHeld,
+                                  core::time_point inNow)
 {
-    ioHeld.keeper.advance(inNow);
+    ioHeld.controller.advance(inNow);
     if (mClaims.mayOrder(inEngine, inNow)) {
-        ioHeld.keeper.setFleet(loadsOf(inEngine, inNow));
-        if (const auto order = ioHeld.keeper.nextOrder(inNow))
+        ioHeld.controller.setLoadState(loadStateOf(inEngine, inNow));
+        if (const auto order = ioHeld.controller.nextOrder(inNow))
             sendOrder(inEngine, *order);
     }
     publish(inEngine, ioHeld, inNow);
@@ -421,7 +426,7 @@
     order.holder = mOptions.self.instance;
     order.fence = mClaims.find(inEngine)->fence;
     const core::time_point sentAt = core::boot_clock::now();
-    const http1::address target = mHeld.at(inEngine).keeper.entry().address;
+    const http1::address target = mHeld.at(inEngine).controller.entry().address;
     mFetcher.fetch(platform::orderRequest(target, inEngine, order),
                    [this, inEngine, inOrder, sentAt](const http1::fetch_result &inResult) {
                        orderEnded(inEngine, inOrder, platform::decodeOrderOutcome(inResult),
@@ -446,14 +451,15 @@
     const auto found = mHeld.find(inEngine);
     if (found == mHeld.end())
         return;
-    found->second.keeper.orderEnded(inOrder, inOutcome, now);
-    pump(inEngine, found->second, now);
+    found->second.controller.orderEnded(inOrder, inOutcome, now);
+    advanceEngine(inEngine, found->second, now);
 }
 
-void order_service::askReport(const std::string &inEngine, held &ioHeld, core::time_point inNow)
+void order_service::requestReport(const std::string &inEngine, held_engine &ioHeld,
+                                  core::time_point inNow)
 {
-    ioHeld.keeper.reportStarted(inNow);
-    mFetcher.fetch(platform::reportRequest(ioHeld.keeper.entry().address),
+    ioHeld.controller.reportStarted(inNow);
+    mFetcher.fetch(platform::reportRequest(ioHeld.controller.entry().address),
                    [this, inEngine](const http1::fetch_result &inResult) {
                        const auto found = mHeld.find(inEngine);
                        if (found == mHeld.end())
@@ -461,24 +467,25 @@
                        const core::time_point now = core::boot_clock::now();
                        const auto report = platform::decodeReport(inResult);
                        if (report)
-                           found->second.keeper.reportEnded(*report, now);
+                           found->second.controller.reportEnded(*report, now);
                        else
-                           found->second.keeper.reportEnded(std::nullopt, now);
+                           found->second.controller.reportEnded(std::nullopt, now);
                        mMetrics.count(report ? "reports_total{outcome=\"read\"}"
                                              : "reports_total{outcome=\"failed\"}");
-                       pump(inEngine, found->second, now);
+                       advanceEngine(inEngine, found->second, now);
                    });
 }
 
-void order_service::publish(const std::string &inEngine, held &ioHeld, core::time_point inNow)
+void order_service::publish(const std::string &inEngine, held_engine &ioHeld,
+                            core::time_point inNow)
 {
-    const engine_keeper &keeper = ioHeld.keeper;
+    const engine_controller &controller = ioHeld.controller;
     fleet::engine_state state{.endpoint = inEngine,
-                              .startedMs = keeper.entry().startedMs,
-                              .ready = mClaims.mayOrder(inEngine, inNow) && keeper.inSync(),
-                              .adapters = keeper.adapters(),
-                              .models = keeper.models(),
-                              .queued = keeper.queued()};
+                              .startedMs = controller.entry().startedMs,
+                              .ready = mClaims.mayOrder(inEngine, inNow) && controller.inSync(),
+                              .adapters = controller.adapters(),
+                              .models = controller.models(),
+                              .queued = controller.queued()};
     if (ioHeld.published == state && inNow - ioHeld.publishedAt < cRepeatPeriod)
         return;
     ioHeld.published = state;
