--- a/corneltally/forwarding/forwarded_request.cpp
+++ b/corneltally/forwarding/forwarded_request.cpp
@@ -335,7 +335,7 @@
         else
             target->health.failed(now);
         if (inResult == attempt_result::not_sent) {
-            mContext.pool.forget(target->entry.address);
+            mContext.pool.closeIdleTo(target->entry.address);
             target->notBefore = now + cUnreachablePause;
         }
     }
--- a/corneltally/forwarding/front_service.cpp
+++ b/corneltally/forwarding/front_service.cpp
@@ -58,7 +58,7 @@
     ioRegistry.handle<catalog::endpoint_changed>(
         cName, [this](const catalog::endpoint_changed &inChanged) {
             if (mContext.book.apply(inChanged.entry, core::boot_clock::now()))
-                mContext.pool.forget(inChanged.entry.address);
+                mContext.pool.closeIdleTo(inChanged.entry.address);
             endpointChanged(inChanged.entry.id);
         });
     ioRegistry.handle<catalog::endpoint_removed>(
--- a/corneltally/http1/client_connection.cpp
+++ b/corneltally/http1/client_connection.cpp
@@ -31,7 +31,7 @@
 client_connection::client_connection(kernel::event_loop &inLoop, const address &inTarget,
                                      core::duration inDataTimeout)
     : mStream(inLoop, inTarget, inDataTimeout)
-    , mConnectTimer(inLoop, [this] { ended(stream_end::failed); })
+    , mConnectTimer(inLoop, [this] { streamEnded(stream_end::failed); })
     , mTarget(inTarget)
     , mLastInput(core::boot_clock::now())
 {
@@ -43,7 +43,7 @@
                            },
                        .onInput = [this] { readInput(); },
                        .onDrained = {},
-                       .onEnd = [this](stream_end inEnd) { ended(inEnd); }});
+                       .onEnd = [this](stream_end inEnd) { streamEnded(inEnd); }});
 }
 
 void client_connection::start(const request_head &inHead, std::string_view inBody, events inEvents)
@@ -100,7 +100,7 @@
         }
         mHeadDelivered = true;
         mDropping = mEvents.accepts && !mEvents.accepts(head);
-        noteHead(head);
+        updateReuse(head);
         if (!mDropping && mEvents.onHead) {
             const auto handler = mEvents.onHead;
             handler(head);
@@ -124,7 +124,7 @@
     return true;
 }
 
-void client_connection::noteHead(const response_head &inHead)
+void client_connection::updateReuse(const response_head &inHead)
 {
     if (!inHead.keepAlive)
         mReusable = false;
@@ -147,7 +147,7 @@
         handler({inOutcome, wasSent, inReason});
 }
 
-void client_connection::ended(stream_end inEnd)
+void client_connection::streamEnded(stream_end inEnd)
 {
     mReusable = false;
     if (!mRunning) {
--- a/corneltally/http1/client_connection.h
+++ b/corneltally/http1/client_connection.h
@@ -73,8 +73,8 @@
     void readInput();
     bool deliver();
     void finish(exchange_end::kind inOutcome, std::string_view inReason);
-    void ended(stream_end inEnd);
-    void noteHead(const response_head &inHead);
+    void streamEnded(stream_end inEnd);
+    void updateReuse(const response_head &inHead);
 
     socket_stream mStream;
     kernel::timer mConnectTimer;
--- a/corneltally/http1/connection_pool.cpp
+++ b/corneltally/http1/connection_pool.cpp
@@ -54,7 +54,7 @@
         idle.push_back(std::move(inConnection));
 }
 
-void connection_pool::forget(const address &inTarget)
+void connection_pool::closeIdleTo(const address &inTarget)
 {
     mIdle.erase(inTarget);
 }
--- a/corneltally/http1/connection_pool.h
+++ b/corneltally/http1/connection_pool.h
@@ -42,7 +42,7 @@
     void give(std::unique_ptr<client_connection> inConnection);
 
     /// Closes the idle connections of an address.
-    void forget(const address &inTarget);
+    void closeIdleTo(const address &inTarget);
 
     /// Closes idle connections that have become useless; call about once a second.
     void prune();
--- a/corneltally/http1/fetcher.cpp
+++ b/corneltally/http1/fetcher.cpp
@@ -7,7 +7,7 @@
 
 namespace corneltally::http1 {
 
-struct fetcher::running
+struct fetcher::running_call
 {
     std::unique_ptr<client_connection> connection;
     kernel::timer timeout;
@@ -25,12 +25,12 @@
 void fetcher::fetch(fetch_request inRequest, std::function<void(const fetch_result &)> inHandler)
 {
     const std::uint64_t id = mNextId++;
-    auto call = std::make_unique<running>(
-        running{mPool.take(inRequest.target, core::duration::max()),
-                kernel::timer(mLoop, [this, id] { finish(id, false, true); }),
-                {},
-                std::move(inHandler)});
-    running &entry = *call;
+    auto call = std::make_unique<running_call>(
+        running_call{mPool.take(inRequest.target, core::duration::max()),
+                     kernel::timer(mLoop, [this, id] { finish(id, false, true); }),
+                     {},
+                     std::move(inHandler)});
+    running_call &entry = *call;
     mRunning.emplace(id, std::move(call));
     entry.timeout.startOnce(inRequest.timeout);
     request_head head{.method = std::move(inRequest.method),
@@ -59,7 +59,7 @@
     const auto found = mRunning.find(inId);
     if (found == mRunning.end())
         return;
-    std::unique_ptr<running> call = std::move(found->second);
+    std::unique_ptr<running_call> call = std::move(found->second);
     mRunning.erase(found);
     call->result.sent = inSent;
     if (inComplete)
@@ -67,7 +67,8 @@
     else
         call->result = {.sent = inSent};
     // This may run inside an event of the connection, which has to outlive it.
-    mLoop.post([call = std::shared_ptr<running>(std::move(call))] { call->handler(call->result); });
+    mLoop.post(
+        [call = std::shared_ptr<running_call>(std::move(call))] { call->handler(call->result); });
 }
 
 } // namespace corneltally::http1
--- a/corneltally/http1/fetcher.h
+++ b/corneltally/http1/fetcher.h
@@ -48,13 +48,13 @@
     void prune() { mPool.prune(); }
 
 private:
-    struct running;
+    struct running_call;
 
     void finish(std::uint64_t inId, bool inComplete, bool inSent);
 
     kernel::event_loop &mLoop;
     connection_pool mPool;
-    std::unordered_map<std::uint64_t, std::unique_ptr<running>> mRunning;
+    std::unordered_map<std::uint64_t, std::unique_ptr<running_call>> mRunning;
     std::uint64_t mNextId = 1;
 };
 
--- a/corneltally/http1/message_parser.cpp
+++ b/corneltally/http1/message_parser.cpp
@@ -61,15 +61,15 @@
     {
         std::size_t taken = 0;
         while (taken < inBytes.size() && !base::is_done()) {
-            error_code problem;
+            error_code error;
             const std::size_t step = base::put(
-                boost::asio::const_buffer(inBytes.data() + taken, inBytes.size() - taken), problem);
+                boost::asio::const_buffer(inBytes.data() + taken, inBytes.size() - taken), error);
             taken += step;
-            if (problem == beast::http::error::need_more)
+            if (error == beast::http::error::need_more)
                 break;
-            if (problem) {
+            if (error) {
                 failed = true;
-                headTooLarge = problem == beast::http::error::header_limit;
+                headTooLarge = error == beast::http::error::header_limit;
                 break;
             }
             if (step == 0)
@@ -86,9 +86,9 @@
             failed = true;
             return;
         }
-        error_code problem;
-        base::put_eof(problem);
-        if (problem || !base::is_done())
+        error_code error;
+        base::put_eof(error);
+        if (error || !base::is_done())
             failed = true;
     }
 
@@ -107,7 +107,7 @@
     }
 
     void on_request_impl(beast::http::verb /*inVerb*/, string_view inMethod, string_view inTarget,
-                         int inVersion, error_code & /*outProblem*/) override
+                         int inVersion, error_code & /*outError*/) override
     {
         request.chunkedAllowed = inVersion >= 11;
         request.method = toString(inMethod);
@@ -115,21 +115,21 @@
     }
 
     void on_response_impl(int inStatus, string_view inReason, int /*inVersion*/,
-                          error_code & /*outProblem*/) override
+                          error_code & /*outError*/) override
     {
         response.status = inStatus;
         response.reason = toString(inReason);
     }
 
     void on_field_impl(beast::http::field /*inField*/, string_view inName, string_view inValue,
-                       error_code & /*outProblem*/) override
+                       error_code & /*outError*/) override
     {
         // Fields behind a chunked body are not part of the head and are dropped.
         if (!headComplete)
             fields().emplace_back(toString(inName), toString(inValue));
     }
 
-    void on_header_impl(error_code & /*outProblem*/) override
+    void on_header_impl(error_code & /*outError*/) override
     {
         headComplete = true;
         if constexpr (isRequest) {
@@ -143,27 +143,27 @@
     }
 
     void on_body_init_impl(const boost::optional<std::uint64_t> & /*inLength*/,
-                           error_code & /*outProblem*/) override
+                           error_code & /*outError*/) override
     { }
 
-    std::size_t on_body_impl(string_view inBody, error_code & /*outProblem*/) override
+    std::size_t on_body_impl(string_view inBody, error_code & /*outError*/) override
     {
         body.append(inBody.data(), inBody.size());
         return inBody.size();
     }
 
     void on_chunk_header_impl(std::uint64_t /*inSize*/, string_view /*inExtensions*/,
-                              error_code & /*outProblem*/) override
+                              error_code & /*outError*/) override
     { }
 
     std::size_t on_chunk_body_impl(std::uint64_t /*inRemaining*/, string_view inBody,
-                                   error_code & /*outProblem*/) override
+                                   error_code & /*outError*/) override
     {
         body.append(inBody.data(), inBody.size());
         return inBody.size();
     }
 
-    void on_finish_impl(error_code & /*outProblem*/) override { }
+    void on_finish_impl(error_code & /*outError*/) override { }
 };
 
 } // namespace
--- a/corneltally/http1/server_connection.cpp
+++ b/corneltally/http1/server_connection.cpp
@@ -87,7 +87,7 @@
             mArrived = core::boot_clock::now();
             armTimer(mLimits.headerTimeout);
         }
-        const bool headBefore = mParser.headComplete();
+        const bool hadHead = mParser.headComplete();
         const std::size_t taken = mParser.feed(input);
         mStream.consume(taken);
         if (mParser.failed()) {
@@ -95,7 +95,7 @@
             return false;
         }
         if (mParser.headComplete()) {
-            if (!headBefore)
+            if (!hadHead)
                 armTimer(mLimits.bodyTimeout);
             mBody.append(mParser.takeBody());
             if (mBody.size() > mLimits.maxBodyBytes) {
--- a/corneltally/http1/socket_stream.cpp
+++ b/corneltally/http1/socket_stream.cpp
@@ -20,7 +20,7 @@
 /// Idle time before the first keep-alive probe, the pause between probes (s), and the probes
 /// without answer that end a connection. They find connections that went silent within about 4 s.
 constexpr int cProbeIdleSeconds = 2;
-constexpr int cProbePauseSeconds = 1;
+constexpr int cProbeIntervalSeconds = 1;
 constexpr int cProbeCount = 2;
 
 /// Input that may wait unread before reading stops, in bytes.
@@ -32,8 +32,8 @@
     setsockopt(inSocket, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof(enabled));
     setsockopt(inSocket, SOL_SOCKET, SO_KEEPALIVE, &enabled, sizeof(enabled));
     setsockopt(inSocket, IPPROTO_TCP, TCP_KEEPIDLE, &cProbeIdleSeconds, sizeof(cProbeIdleSeconds));
-    setsockopt(inSocket, IPPROTO_TCP, TCP_KEEPINTVL, &cProbePauseSeconds,
-               sizeof(cProbePauseSeconds));
+    setsockopt(inSocket, IPPROTO_TCP, TCP_KEEPINTVL, &cProbeIntervalSeconds,
+               sizeof(cProbeIntervalSeconds));
     setsockopt(inSocket, IPPROTO_TCP, TCP_KEEPCNT, &cProbeCount, sizeof(cProbeCount));
     const auto timeout = static_cast<unsigned>(
         std::chrono::duration_cast<std::chrono::milliseconds>(inDataTimeout).count());
--- a/tests/unit/http1_connections_test.cpp
+++ b/tests/unit/http1_connections_test.cpp
@@ -24,8 +24,8 @@
 struct scripted_server
 {
     kernel::event_loop loop;
-    std::vector<std::string> answers;
-    bool closeAfterAnswer = false;
+    std::vector<std::string> responses;
+    bool closeAfterResponse = false;
     std::vector<std::unique_ptr<http1::socket_stream>> streams;
     http1::listener listener{loop, [this](int inSocket) { accept(inSocket); }};
     kernel::timer limit{loop, [this] { loop.stop(); }};
@@ -48,11 +48,11 @@
                                [this, stream] {
                                    received.append(stream->input());
                                    stream->consume(stream->input().size());
-                                   if (answers.empty())
+                                   if (responses.empty())
                                        return;
-                                   stream->write(answers.front());
-                                   answers.erase(answers.begin());
-                                   if (closeAfterAnswer)
+                                   stream->write(responses.front());
+                                   responses.erase(responses.begin());
+                                   if (closeAfterResponse)
                                        stream->shutdownWrite();
                                },
                            .onDrained = {},
@@ -103,8 +103,8 @@
 TEST_CASE("an answer with another request's id is dropped")
 {
     scripted_server server;
-    server.answers = {"HTTP/1.1 200 OK\r\nId: old\r\nContent-Length: 3\r\n\r\noldHTTP/1.1 200 "
-                      "OK\r\nId: a\r\nContent-Length: 3\r\n\r\nnew"};
+    server.responses = {"HTTP/1.1 200 OK\r\nId: old\r\nContent-Length: 3\r\n\r\noldHTTP/1.1 200 "
+                        "OK\r\nId: a\r\nContent-Length: 3\r\n\r\nnew"};
     const auto connection = server.connect();
     const auto result = server.exchange(*connection, "a");
     CHECK(result.end.outcome == kind::complete);
@@ -114,7 +114,7 @@
 TEST_CASE("bytes behind an answer make its connection useless")
 {
     scripted_server server;
-    server.answers
+    server.responses
         = {"HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nId: a\r\n"};
     const auto connection = server.connect();
     CHECK(server.exchange(*connection, "a").end.outcome == kind::complete);
@@ -124,9 +124,10 @@
 TEST_CASE("a cut chunked answer is broken, a body without length ends with its connection")
 {
     scripted_server server;
-    server.closeAfterAnswer = true;
-    server.answers = {"HTTP/1.1 200 OK\r\nId: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
-                      "HTTP/1.1 200 OK\r\nId: a\r\n\r\nabc"};
+    server.closeAfterResponse = true;
+    server.responses
+        = {"HTTP/1.1 200 OK\r\nId: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
+           "HTTP/1.1 200 OK\r\nId: a\r\n\r\nabc"};
     CHECK(server.exchange(*server.connect(), "a").end.outcome == kind::broken);
     const auto whole = server.exchange(*server.connect(), "a");
     CHECK(whole.end.outcome == kind::complete);
@@ -140,8 +141,8 @@
     const auto result = server.exchange(refused, "a");
     CHECK(result.end.outcome == kind::not_connected);
     CHECK_FALSE(result.end.sent);
-    server.closeAfterAnswer = true;
-    server.answers = {""};
+    server.closeAfterResponse = true;
+    server.responses = {""};
     const auto connection = server.connect();
     const auto broken = server.exchange(*connection, "a");
     CHECK(broken.end.outcome == kind::broken);
@@ -151,8 +152,8 @@
 TEST_CASE("a connection is used again only while it is young enough")
 {
     scripted_server server;
-    server.answers = {"HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 0\r\n\r\n",
-                      "HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 0\r\n\r\n"};
+    server.responses = {"HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 0\r\n\r\n",
+                        "HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 0\r\n\r\n"};
     http1::connection_pool pool(server.loop, {});
     const http1::address target{"127.0.0.1", server.listener.port()};
     for (int round = 0; round < 2; ++round) {
