--- a/corneltally/http1/client_connection.cpp
+++ b/corneltally/http1/client_connection.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/// Time to open a connection. It takes a few milliseconds; a lost opening packet is sent again only
-/// after a second.
+/// Timeout for opening a connection. A handshake takes a few milliseconds; a lost SYN is
+/// retransmitted only after a second.
 constexpr core::duration cConnectTime = std::chrono::milliseconds(400);
 
-/// Reads the time-out of a field such as "timeout=5, max=100".
+/// Parses the timeout from a Keep-Alive value such as "timeout=5, max=100".
 std::optional<core::duration> keepAliveTimeout(std::string_view inValue)
 {
     constexpr std::string_view cName = "timeout=";
@@ -65,7 +65,7 @@
 {
     mLastInput = core::boot_clock::now();
     if (!mRunning) {
-        // Bytes that no request asked for; what follows them cannot be told apart from an answer.
+        // These bytes belong to no request, so later bytes could be mistaken for a response.
         mReusable = false;
         mStream.close();
         return;
@@ -87,13 +87,14 @@
     }
 }
 
-/// Passes on what was parsed. Returns false if the connection may not exist any more.
+/// Reports parsed data through the events. Returns false if a handler may have destroyed the
+/// connection.
 bool client_connection::deliver()
 {
     if (mParser->headComplete() && !mHeadDelivered) {
         const response_head &head = mParser->response();
         if (head.status / 100 == 1) {
-            // An interim answer has no body; the final one follows.
+            // An interim response has no body and is followed by the final response.
             if (mParser->complete())
                 mParser.emplace(message_parser::kind::response);
             return true;
@@ -136,7 +137,7 @@
 {
     mRunning = false;
     const bool wasSent = sent();
-    // A request that is still being written, or bytes behind the answer, would spoil what follows.
+    // Unsent request bytes or extra bytes after the response would corrupt the next exchange.
     if (inOutcome != exchange_end::kind::complete || !mStream.input().empty()
         || mStream.unsentBytes() > 0)
         mReusable = false;
@@ -158,7 +159,7 @@
         finish(exchange_end::kind::not_connected, "no connection");
         return;
     }
-    // Only an end in order completes a body without a stated length.
+    // Only an orderly close completes a body without a stated length.
     if (inEnd == stream_end::closed && mHeadDelivered && !mDropping
         && mParser->endsWithConnection()) {
         mParser->feedEnd();
--- a/corneltally/http1/client_connection.h
+++ b/corneltally/http1/client_connection.h
@@ -17,42 +17,43 @@
 struct exchange_end
 {
     enum class kind {
-        /// The whole answer arrived.
+        /// The whole response arrived.
         complete,
         /// No connection could be opened.
         not_connected,
-        /// The connection ended, or what arrived is not an answer.
+        /// The connection ended early, or the received bytes are not a valid response.
         broken,
     };
 
     kind outcome = kind::broken;
-    /// Whether a byte of the request may have reached the server.
+    /// Whether any byte of the request may have reached the server.
     bool sent = false;
-    /// What happened, for the log.
+    /// Reason for the log.
     std::string_view reason;
 };
 
-/// A connection to a server that carries one exchange at a time.
+/// Client side of an HTTP/1.1 connection. Carries one exchange at a time.
 class client_connection
 {
 public:
     struct events
     {
-        /// Whether an answer belongs to the request. One that does not is read and dropped.
+        /// Returns whether a response belongs to the request. A response that doesn't is read and
+        /// discarded.
         std::function<bool(const response_head &)> accepts;
         std::function<void(const response_head &)> onHead;
         std::function<void(std::string_view inData)> onBody;
-        /// The last event of an exchange; the connection may be destroyed from inside it.
+        /// Last event of an exchange. The handler may destroy the connection.
         std::function<void(const exchange_end &)> onEnd;
     };
 
     client_connection(kernel::event_loop &inLoop, const address &inTarget,
                       core::duration inDataTimeout);
 
-    /// Sends a request. The head carries the fields that frame the body.
+    /// Sends a request. The head must contain the fields that frame the body.
     void start(const request_head &inHead, std::string_view inBody, events inEvents);
 
-    /// Whether another exchange may be started.
+    /// Whether another exchange may start on this connection.
     bool reusable() const { return mReusable && mStream.isOpen(); }
 
     const address &target() const { return mTarget; }
@@ -61,10 +62,10 @@
     /// When the last byte arrived, or when the connection was opened.
     core::time_point lastInput() const { return mLastInput; }
 
-    /// Idle time after which the server closes, if it said so.
+    /// Idle time after which the server closes the connection, if it announced one.
     std::optional<core::duration> serverIdleLimit() const { return mServerIdleLimit; }
 
-    /// Whether a byte of the running request may have reached the server.
+    /// Whether any byte of the current request may have reached the server.
     bool sent() const { return mStream.sentBytes() > mSentBefore; }
 
     void setReading(bool inReading) { mStream.setReading(inReading); }
--- a/corneltally/http1/connection_pool.cpp
+++ b/corneltally/http1/connection_pool.cpp
@@ -35,7 +35,7 @@
             if (usable(*connection, inMaxIdle))
                 return connection;
             if (connection->reusable()) {
-                // Too old for this request; the others are older still.
+                // Idle for too long for this request; the remaining connections were idle longer.
                 idle.push_back(std::move(connection));
                 break;
             }
--- a/corneltally/http1/connection_pool.h
+++ b/corneltally/http1/connection_pool.h
@@ -15,39 +15,40 @@
 
 class client_connection;
 
-/// Idle connections to servers, by address.
+/// Pool of idle client connections, grouped by server address.
 class connection_pool
 {
 public:
     struct limits
     {
-        /// Unacknowledged data and unanswered probes end a connection after this time.
+        /// A connection fails when data or probes stay unacknowledged for this time.
         core::duration dataTimeout = std::chrono::milliseconds(1500);
-        /// Idle connections that are kept for one address.
+        /// Maximum number of idle connections per address.
         std::size_t maxIdle = 32;
-        /// A server that states an idle limit closes at about that time; connections are not used
-        /// when less than this is left of it.
+        /// A server closes a connection at about its announced idle limit. A connection with less
+        /// than this time left before the limit is not reused.
         core::duration closeMargin = std::chrono::milliseconds(700);
-        /// Used where a server states no idle limit.
+        /// Idle limit assumed for servers that announce none.
         core::duration defaultIdleLimit = std::chrono::seconds(4);
     };
 
     connection_pool(kernel::event_loop &inLoop, limits inLimits);
     ~connection_pool();
 
-    /// The connection used last, if its last sign of life is young enough, or a new one.
+    /// Returns the most recently used connection if its last input is at most inMaxIdle ago, or a
+    /// new one.
     std::unique_ptr<client_connection> take(const address &inTarget, core::duration inMaxIdle);
 
-    /// Keeps a connection whose exchange is complete, if it can be used again.
+    /// Returns a connection with a complete exchange to the pool if it is reusable.
     void give(std::unique_ptr<client_connection> inConnection);
 
-    /// Closes the idle connections of an address.
+    /// Closes the idle connections to an address.
     void closeIdleTo(const address &inTarget);
 
-    /// Closes idle connections that have become useless; call about once a second.
+    /// Closes idle connections that can't be reused any more. To be called about once a second.
     void prune();
 
-    /// Connections opened so far.
+    /// Number of connections opened so far.
     std::size_t opened() const { return mOpened; }
 
 private:
--- a/corneltally/http1/fetcher.cpp
+++ b/corneltally/http1/fetcher.cpp
@@ -66,7 +66,7 @@
         mPool.give(std::move(call->connection));
     else
         call->result = {.sent = inSent};
-    // This may run inside an event of the connection, which has to outlive it.
+    // This may run inside an event of the connection, so the connection is destroyed later.
     mLoop.post(
         [call = std::shared_ptr<running_call>(std::move(call))] { call->handler(call->result); });
 }
--- a/corneltally/http1/fetcher.h
+++ b/corneltally/http1/fetcher.h
@@ -13,7 +13,7 @@
 
 namespace corneltally::http1 {
 
-/// A call whose answer is wanted as a whole.
+/// A request whose response is collected as a whole.
 struct fetch_request
 {
     address target;
@@ -24,27 +24,27 @@
     core::duration timeout = std::chrono::seconds(2);
 };
 
-/// Result of a call. The status is zero if no whole answer arrived.
+/// Result of a fetch. The status is zero if no complete response arrived.
 struct fetch_result
 {
     int status = 0;
     header_fields fields;
     std::string body;
-    /// Whether the server may have received the call.
+    /// Whether the server may have received any part of the request.
     bool sent = false;
 };
 
-/// Makes calls to servers over pooled connections.
+/// Sends requests over pooled connections and collects their responses.
 class fetcher
 {
 public:
     explicit fetcher(kernel::event_loop &inLoop);
     ~fetcher();
 
-    /// The handler is called once, never from inside this call.
+    /// Calls the handler exactly once, never from inside this function.
     void fetch(fetch_request inRequest, std::function<void(const fetch_result &)> inHandler);
 
-    /// Closes idle connections that have become useless.
+    /// Closes idle connections that can't be reused any more.
     void prune() { mPool.prune(); }
 
 private:
--- a/corneltally/http1/listener.cpp
+++ b/corneltally/http1/listener.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// Connections that may wait to be accepted. When the queue is full, callers' opening packets are
-/// dropped and sent again only after seconds.
+/// Length of the accept queue. When it is full, the kernel drops SYN packets, which callers
+/// retransmit only after seconds.
 constexpr int cBacklog = 512;
 
 } // namespace
--- a/corneltally/http1/listener.h
+++ b/corneltally/http1/listener.h
@@ -12,7 +12,7 @@
 
 namespace corneltally::http1 {
 
-/// Accepts connections on an address.
+/// Accepts TCP connections on an address.
 class listener
 {
 public:
@@ -21,10 +21,11 @@
     listener(const listener &) = delete;
     listener &operator=(const listener &) = delete;
 
-    /// Port 0 lets the kernel choose. Returns false if the address is taken or invalid.
+    /// Binds and listens; port 0 lets the kernel choose. Returns false if the address is taken or
+    /// invalid.
     bool listen(const address &inAddress);
 
-    /// Accepts nothing more; waiting connections are left to the kernel.
+    /// Stops accepting. Connections in the accept queue are left to the kernel.
     void stop();
 
     unsigned short port() const { return mPort; }
--- a/corneltally/http1/message_parser.cpp
+++ b/corneltally/http1/message_parser.cpp
@@ -40,7 +40,7 @@
 
 namespace {
 
-/// Collects what Beast reports of one message.
+/// Stores the data of one message that Beast's parser reports through its callbacks.
 template <bool isRequest>
 class collecting_parser final : public message_parser::state,
                                 private beast::http::basic_parser<isRequest>
@@ -52,8 +52,8 @@
     {
         base::eager(true);
         base::header_limit(inMaxHeaderBytes);
-        // The owner of the connection bounds the body, since its limit depends on the peer. Without
-        // any limit, Boost 1.74 refuses each body with a stated length.
+        // The connection's owner enforces the body limit, which depends on the peer. If no limit is
+        // set here, Boost 1.74 rejects every body with a stated length.
         base::body_limit(std::numeric_limits<std::uint64_t>::max());
     }
 
@@ -124,7 +124,7 @@
     void on_field_impl(beast::http::field /*inField*/, string_view inName, string_view inValue,
                        error_code & /*outError*/) override
     {
-        // Fields behind a chunked body are not part of the head and are dropped.
+        // Trailer fields after a chunked body are not part of the head and are discarded.
         if (!headComplete)
             fields().emplace_back(toString(inName), toString(inValue));
     }
--- a/corneltally/http1/message_parser.h
+++ b/corneltally/http1/message_parser.h
@@ -10,8 +10,8 @@
 
 namespace corneltally::http1 {
 
-/// Incremental parser of one HTTP/1.1 message. Keeps Boost.Beast, which is slow to compile, out of
-/// all other sources.
+/// Incremental parser for one HTTP/1.1 message. Hides Boost.Beast, which is slow to compile, from
+/// all other source files.
 class message_parser
 {
 public:
@@ -22,34 +22,34 @@
     message_parser(message_parser &&) noexcept;
     message_parser &operator=(message_parser &&) noexcept;
 
-    /// Parses bytes and returns how many were taken. Bytes that were not taken have to be passed
-    /// again, in front of those that arrive next.
+    /// Parses bytes and returns how many were consumed. The caller passes the remaining bytes
+    /// again, followed by those that arrive next.
     std::size_t feed(std::string_view inBytes);
 
-    /// The connection ended. A body without a stated length ends with it; any other message that
-    /// is not complete fails.
+    /// Reports the end of the connection. It completes a body without a stated length; any other
+    /// incomplete message fails.
     void feedEnd();
 
     bool headComplete() const;
     bool complete() const;
     bool failed() const;
-    /// The head is longer than the limit; failed() is true as well.
+    /// Whether the head exceeds the size limit; failed() is then true as well.
     bool headTooLarge() const;
-    /// Whether the body ends with the connection.
+    /// Whether only the end of the connection ends the body.
     bool endsWithConnection() const;
 
-    /// Valid once the head is complete; only the one of the parser's kind is filled.
+    /// Valid once the head is complete. Only the head that matches the parser's kind is filled.
     const request_head &request() const;
     const response_head &response() const;
 
-    /// Body bytes since the last call.
+    /// Returns and removes the body bytes parsed since the last call.
     std::string takeBody();
 
-    /// Head of a request or an answer that is longer than this is refused; the operators
-    /// set another limit for callers.
+    /// Default limit on the size of a request or response head. Operators configure a separate
+    /// limit for callers.
     static constexpr std::uint32_t sDefaultHeaderBytes = 64 * 1024;
 
-    /// What is known of the message; completed by the parser behind it.
+    /// Parsed data, filled by an implementation in the source file.
     struct state;
 
 private:
--- a/corneltally/http1/server_connection.cpp
+++ b/corneltally/http1/server_connection.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// How long a connection that was answered for good waits for the caller's end, so that a reset for
-/// unread bytes does not overtake the answer.
+/// Time to wait for the caller to close after the last response. An immediate close with unread
+/// bytes would send a reset, which could discard the response before the caller reads it.
 constexpr core::duration cLingerTime = std::chrono::seconds(1);
 
 } // namespace
@@ -75,7 +75,7 @@
         parse();
 }
 
-/// Returns false if the connection may not exist any more.
+/// Returns false if a handler may have destroyed the connection.
 bool server_connection::parse()
 {
     while (true) {
@@ -201,7 +201,7 @@
     mContinueSent = false;
     mParser = message_parser(message_parser::kind::request, mLimits.maxHeaderBytes);
     armTimer(mLimits.idleTimeout);
-    // A request that arrived meanwhile is read on, unless this runs inside its event.
+    // Continues with a request that arrived meanwhile.
     if (!mStream.input().empty())
         parse();
 }
--- a/corneltally/http1/server_connection.h
+++ b/corneltally/http1/server_connection.h
@@ -15,7 +15,7 @@
 
 namespace corneltally::http1 {
 
-/// What a caller may send and how long it may take.
+/// Size limits and timeouts for requests of a caller.
 struct caller_limits
 {
     std::uint32_t maxHeaderBytes = 16 * 1024;
@@ -27,7 +27,7 @@
     friend bool operator==(const caller_limits &, const caller_limits &) = default;
 };
 
-/// A whole request as it was received.
+/// A complete received request.
 struct server_request
 {
     request_head head;
@@ -36,17 +36,16 @@
     core::time_point arrived;
 };
 
-/// A caller's connection. It reads one request at a time and writes its answer.
+/// Server side of an HTTP/1.1 connection. Reads one request at a time and writes its response.
 class server_connection
 {
 public:
     struct events
     {
         std::function<void(server_request)> onRequest;
-        /// All bytes of an answer were handed to the transport.
+        /// All response bytes written so far were passed to the socket.
         std::function<void()> onDrained;
-        /// The connection is of no more use; also when the caller left during a request. The
-        /// connection may be destroyed from inside it.
+        /// The connection ended, possibly during a request. The handler may destroy the connection.
         std::function<void()> onClosed;
     };
 
@@ -55,19 +54,19 @@
 
     void setEvents(events inEvents);
 
-    /// Sends a whole answer.
+    /// Sends a complete response.
     void respond(response_head inHead, std::string_view inBody);
 
-    /// Begins an answer whose body follows. With a length the body must have it; without one it is
-    /// sent in chunks, or ends with the connection for an old caller.
+    /// Starts a response whose body follows. With inLength, the body must have this length. Without
+    /// it, the body is sent in chunks, or ends with the connection if the caller uses HTTP/1.0.
     void startResponse(response_head inHead, std::optional<std::uint64_t> inLength);
     void sendBody(std::string_view inData);
     void endResponse();
 
-    /// Breaks an answer off, so that it can't be taken for a complete one.
+    /// Closes the connection within a response, so that the caller can't take it for complete.
     void abort();
 
-    /// Asks for the end of the connection: at once if it is idle, else after the running answer.
+    /// Closes the connection: at once if it is idle, else after the current response.
     void closeWhenIdle();
 
     bool busy() const { return mBusy; }
--- a/corneltally/http1/socket_stream.cpp
+++ b/corneltally/http1/socket_stream.cpp
@@ -17,13 +17,14 @@
 
 namespace {
 
-/// Idle time before the first keep-alive probe, the pause between probes (s), and the probes
-/// without answer that end a connection. They find connections that went silent within about 4 s.
+/// TCP keep-alive: idle time before the first probe, interval between probes, and the number of
+/// unanswered probes that end a connection. Together they detect an unresponsive connection within
+/// about 4 s.
 constexpr int cProbeIdleSeconds = 2;
 constexpr int cProbeIntervalSeconds = 1;
 constexpr int cProbeCount = 2;
 
-/// Input that may wait unread before reading stops, in bytes.
+/// Reading from the socket stops when this many bytes of input are not consumed.
 constexpr std::size_t cInputHighWater = 256 * 1024;
 
 void configure(evutil_socket_t inSocket, core::duration inDataTimeout)
@@ -74,7 +75,7 @@
     static void sWritten(bufferevent * /*inStream*/, void *inState)
     {
         auto *self = static_cast<state *>(inState);
-        // A deferred event may be older than bytes that were written since.
+        // The event is deferred, so more bytes may have been written since it was raised.
         if (evbuffer_get_length(bufferevent_get_output(self->stream)) > 0)
             return;
         if (self->shutdownPending) {
@@ -111,7 +112,8 @@
     : mState(std::make_unique<state>())
 {
     mState->dataTimeout = inDataTimeout;
-    // Deferred callbacks keep a connect that fails at once from reporting inside this call.
+    // Callbacks are deferred so that an immediate connect failure isn't reported inside this
+    // constructor.
     mState->attach(
         bufferevent_socket_new(inLoop.base(), -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
     bufferevent_enable(mState->stream, EV_READ | EV_WRITE);
--- a/corneltally/http1/socket_stream.h
+++ b/corneltally/http1/socket_stream.h
@@ -16,32 +16,32 @@
 
 /// Why a stream ended.
 enum class stream_end {
-    /// The other end closed in order; all that it sent was read.
+    /// The peer closed the connection in an orderly way; everything it sent was read.
     closed,
-    /// A reset, a time-out of the transport or another error.
+    /// A reset, a TCP timeout or another error.
     failed,
 };
 
-/// A TCP connection with buffers. Events are called from the loop, never from inside a call of the
-/// stream; the stream may be destroyed from inside an event.
+/// Buffered TCP connection. Events are called from the event loop, never from inside a member
+/// function. A handler may destroy the stream.
 class socket_stream
 {
 public:
     struct events
     {
         std::function<void()> onConnected;
-        /// Bytes arrived; input() shows all that were not consumed.
+        /// Bytes arrived; input() returns all bytes that are not consumed yet.
         std::function<void()> onInput;
-        /// All bytes written so far were handed to the transport.
+        /// All bytes written so far were passed to the socket.
         std::function<void()> onDrained;
-        /// Nothing is reported after it.
+        /// The last event of a stream.
         std::function<void(stream_end inEnd)> onEnd;
     };
 
     /// Opens a connection.
     socket_stream(kernel::event_loop &inLoop, const address &inTarget,
                   core::duration inDataTimeout);
-    /// Takes over an accepted socket.
+    /// Takes ownership of an accepted socket.
     socket_stream(kernel::event_loop &inLoop, int inSocket, core::duration inDataTimeout);
     ~socket_stream();
     socket_stream(const socket_stream &) = delete;
@@ -54,18 +54,19 @@
 
     void write(std::string_view inBytes);
     std::size_t unsentBytes() const;
-    /// Bytes handed to the transport so far.
+    /// Number of bytes passed to the socket so far.
     std::size_t sentBytes() const;
 
-    /// Stops or resumes reading; while stopped, an end is noticed only if writing fails.
+    /// Stops or resumes reading. While reading is stopped, only a failed write detects the end of
+    /// the connection.
     void setReading(bool inReading);
 
-    /// Sends the end of the outgoing direction after what was written.
+    /// Shuts down the sending direction after all written bytes were sent.
     void shutdownWrite();
 
     bool isOpen() const;
 
-    /// Closes at once; no event follows.
+    /// Closes the connection immediately, without an event.
     void close();
 
 private:
--- a/tests/unit/http1_connections_test.cpp
+++ b/tests/unit/http1_connections_test.cpp
@@ -1,5 +1,5 @@
-// Guards against answers that reach the wrong request, and against answers that are cut when their
-// connection closes.
+// Guards against responses that are delivered to the wrong request, and against responses that are
+// truncated when their connection closes.
 
 #include "corneltally/http1/client_connection.h"
 #include "corneltally/http1/connection_pool.h"
@@ -20,7 +20,7 @@
 
 namespace {
 
-/// A server that sends given bytes for each request, and a client on the same loop.
+/// Server that sends scripted bytes for each request, and a client on the same event loop.
 struct scripted_server
 {
     kernel::event_loop loop;
@@ -100,7 +100,7 @@
 
 } // namespace
 
-TEST_CASE("an answer with another request's id is dropped")
+TEST_CASE("a response with another request's id is discarded")
 {
     scripted_server server;
     server.responses = {"HTTP/1.1 200 OK\r\nId: old\r\nContent-Length: 3\r\n\r\noldHTTP/1.1 200 "
@@ -111,7 +111,7 @@
     CHECK(result.body == "new");
 }
 
-TEST_CASE("bytes behind an answer make its connection useless")
+TEST_CASE("a connection with extra bytes after a response is not reusable")
 {
     scripted_server server;
     server.responses
@@ -121,7 +121,7 @@
     CHECK_FALSE(connection->reusable());
 }
 
-TEST_CASE("a cut chunked answer is broken, a body without length ends with its connection")
+TEST_CASE("a truncated chunked response is broken, a body without length ends with its connection")
 {
     scripted_server server;
     server.closeAfterResponse = true;
@@ -134,7 +134,7 @@
     CHECK(whole.body == "abc");
 }
 
-TEST_CASE("a refused connection is told apart from one that broke after the request")
+TEST_CASE("a refused connection is distinguished from one that broke after the request")
 {
     scripted_server server;
     http1::client_connection refused(server.loop, {"127.0.0.1", 1}, 1s);
@@ -149,7 +149,7 @@
     CHECK(broken.end.sent);
 }
 
-TEST_CASE("a connection is used again only while it is young enough")
+TEST_CASE("a connection is reused only within the idle limit")
 {
     scripted_server server;
     server.responses = {"HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 0\r\n\r\n",
@@ -166,7 +166,7 @@
     CHECK(pool.opened() == 2);
 }
 
-TEST_CASE("an answer is sent whole before its connection closes")
+TEST_CASE("a response is sent completely before its connection closes")
 {
     kernel::event_loop loop;
     std::unique_ptr<http1::server_connection> served;
--- a/tests/unit/http1_message_parser_test.cpp
+++ b/tests/unit/http1_message_parser_test.cpp
@@ -1,5 +1,4 @@
-// Guards against answers that are taken for complete though they were cut, and against requests
-// that hide another one.
+// Guards against truncated responses that are taken for complete, and against request smuggling.
 
 #include "corneltally/http1/message_parser.h"
 
@@ -30,7 +29,7 @@
     CHECK(parser.response().contentLength == 5);
 }
 
-TEST_CASE("a head that arrives in pieces is kept by the caller until it is whole")
+TEST_CASE("bytes of an incomplete head stay with the caller until the head is complete")
 {
     message_parser parser(message_parser::kind::request);
     std::string text = "GET /a HTTP/1.1\r\nHo";
@@ -42,7 +41,7 @@
     CHECK(findField(parser.request().fields, "host") == "x");
 }
 
-TEST_CASE("a cut body is not complete, whatever frames it")
+TEST_CASE("a truncated body is not complete with either framing")
 {
     for (const std::string head : {"Content-Length: 9\r\n", "Transfer-Encoding: chunked\r\n"}) {
         message_parser parser = parsed(message_parser::kind::response,
@@ -63,7 +62,7 @@
     CHECK(parser.takeBody() == "abc");
 }
 
-TEST_CASE("a request with two framings is refused")
+TEST_CASE("a request with conflicting body lengths is rejected")
 {
     CHECK(parsed(
               message_parser::kind::request,
@@ -74,7 +73,7 @@
               .failed());
 }
 
-TEST_CASE("a head over the limit is told apart from other mistakes")
+TEST_CASE("a head over the limit is distinguished from other errors")
 {
     message_parser parser(message_parser::kind::request, 256);
     parser.feed("GET / HTTP/1.1\r\nA: " + std::string(400, 'x') + "\r\n\r\n");
@@ -82,7 +81,7 @@
     CHECK(parser.headTooLarge());
 }
 
-TEST_CASE("fields that concern one connection are removed with those that Connection names")
+TEST_CASE("hop-by-hop fields are removed, including those named in Connection")
 {
     header_fields fields{
         {"Connection", "close, X-Private"}, {"x-private", "1"},      {"Keep-Alive", "timeout=5"},
