--- a/corneltally/http1/client_connection.cpp
+++ b/corneltally/http1/client_connection.cpp
@@ -77,7 +77,7 @@
         const std::size_t taken = mParser->feed(input);
         mStream.consume(taken);
         if (mParser->failed()) {
-            finish(exchange_end::kind::broken, "the bytes are not an answer");
+            finish(exchange_end::kind::broken, "the received bytes are not a valid HTTP response");
             return;
         }
         if (!deliver())
@@ -156,7 +156,7 @@
         return;
     }
     if (!mConnected) {
-        finish(exchange_end::kind::not_connected, "no connection");
+        finish(exchange_end::kind::not_connected, "the connection could not be opened");
         return;
     }
     // Only an orderly close completes a body without a stated length.
