--- a/corneltally/http/client.cpp
+++ b/corneltally/http/client.cpp
@@ -81,12 +81,13 @@
         evhttp_connection *connection = evhttp_connection_base_new(
             loop.base(), nullptr, inRequest.target.host.c_str(), inRequest.target.port);
         evhttp_connection_set_retries(connection, 0);
-        // Deadlines are kept per call; the library's own would end a long stream.
+        // Each call has its own timers. The library's timeout would end long streams, so it is set
+        // to 24 h.
         evhttp_connection_set_timeout(connection, 86'400);
         return connection;
     }
 
-    /// The library may still use the connection below the callback that this is called from.
+    /// Frees a connection after the current callback, because the library may still use it.
     void freeLater(evhttp_connection *inConnection)
     {
         loop.post([inConnection] { evhttp_connection_free(inConnection); });
@@ -118,7 +119,8 @@
                             ioCall.request.path.c_str());
     }
 
-    /// Ends a call from outside the library's callbacks by closing its connection.
+    /// Removes a call and closes its connection once the current callback has returned. The library
+    /// reports nothing more of the call.
     std::unique_ptr<running_call> takeAndClose(call_id inId)
     {
         const auto found = calls.find(inId);
@@ -152,7 +154,7 @@
         calls.erase(found);
         std::vector<evhttp_connection *> &pool = idle[call->request.target];
         if (inReusable && pool.size() < cMaxIdlePerTarget)
-            // The connection turns idle only after this callback.
+            // The library uses the connection until this callback returns.
             loop.post([this, connection = call->connection, target = call->request.target] {
                 idle[target].push_back(connection);
             });
@@ -198,7 +200,7 @@
             call.owner->finish(call, call_outcome::interrupted, false);
             return;
         }
-        // After a failed connect the library reports a request without a status and no error.
+        // After a failed connect, the library reports a request with status 0 and no error.
         if (evhttp_request_get_response_code(inRequest) == 0) {
             call.owner->finish(
                 call, call.headSeen ? call_outcome::interrupted : call_outcome::not_sent, false);
@@ -233,7 +235,7 @@
     call->request = std::move(inRequest);
     call->events = std::move(inEvents);
     mImplementation->calls.emplace(id, std::move(call));
-    // Events must not be called from inside this call, not even on an immediate failure.
+    // Starts the call later, so that even an immediate failure is not reported inside call().
     mImplementation->loop.post([self = mImplementation.get(), id] {
         const auto found = self->calls.find(id);
         if (found != self->calls.end())
@@ -244,7 +246,7 @@
 
 void client::cancel(call_id inCall)
 {
-    // The call may be cancelled from inside one of its own events, whose captures must outlive it.
+    // This may run inside an event of the call, so its handlers are destroyed later.
     std::shared_ptr<implementation::running_call> call = mImplementation->takeAndClose(inCall);
     if (call)
         mImplementation->loop.post([keep = std::move(call)] {});
--- a/corneltally/http/client.h
+++ b/corneltally/http/client.h
@@ -15,10 +15,10 @@
 
 namespace corneltally::http {
 
-/// How a client call ended.
+/// How a call of a client ended.
 enum class call_outcome {
     completed,
-    /// The connection could not be opened: no byte of the request was sent.
+    /// The connection could not be opened, so no byte of the request was sent.
     not_sent,
     /// The connection ended or timed out after bytes may have been sent.
     interrupted,
@@ -33,25 +33,25 @@
     std::string path;
     header_list headers;
     std::string body;
-    /// From the start to the last byte of the answer.
+    /// Limit on the time from the start of the call to the last byte of the response.
     core::duration timeout = std::chrono::seconds(30);
-    /// Longest time without a byte of the answer; zero means no such limit.
+    /// Limit on the time without a byte of the response; zero means no limit.
     core::duration idleTimeout{};
-    /// Uses a new connection, so that a failed connect proves that nothing was sent.
+    /// Opens a new connection, so that a connect failure proves that nothing was sent.
     bool freshConnection = false;
 };
 
-/// What a client call reports. All are called from the loop, never from inside call().
+/// Events of a call. They are called from the event loop, never from inside call().
 struct call_events
 {
     std::function<void(int inStatus, const header_list &inHeaders)> onHead;
     std::function<void(std::string_view inData)> onData;
-    /// Called exactly once, last, unless the call was cancelled.
+    /// Called exactly once, as the last event, unless the call was cancelled.
     std::function<void(call_outcome inOutcome)> onEnd;
 };
 
-/// HTTP/1.1 client with connections kept alive per target. A connection on which a call was
-/// interrupted or cancelled is closed and never used again.
+/// HTTP/1.1 client that keeps idle connections per target for reuse. A connection whose call was
+/// interrupted or cancelled is closed.
 class client
 {
 public:
@@ -64,7 +64,7 @@
 
     call_id call(call_request inRequest, call_events inEvents);
 
-    /// Closes the connection of a call; its events are not called any more.
+    /// Closes the connection of a call. No event of the call follows.
     void cancel(call_id inCall);
 
 private:
@@ -72,7 +72,7 @@
     std::unique_ptr<implementation> mImplementation;
 };
 
-/// A complete answer, for calls that need no streaming.
+/// A complete response, for calls that need no streaming.
 struct response
 {
     call_outcome outcome = call_outcome::interrupted;
@@ -81,7 +81,7 @@
     std::string body;
 };
 
-/// Makes a call and collects the whole answer.
+/// Makes a call and collects the complete response.
 client::call_id fetch(client &inClient, call_request inRequest,
                       std::function<void(const response &)> inHandler);
 
--- a/corneltally/http/exchange.cpp
+++ b/corneltally/http/exchange.cpp
@@ -99,7 +99,7 @@
 void exchange::sendChunk(std::string_view inData)
 {
     assert(mStreaming && !mAnswered);
-    // A chunk of length 0 would end the answer.
+    // A chunk of length 0 would end the response.
     if (mRequest == nullptr || inData.empty())
         return;
     evbuffer *chunk = evbuffer_new();
@@ -124,7 +124,7 @@
         return;
     evhtp_connection_t *connection = evhtp_request_get_connection(mRequest);
     mRequest = nullptr;
-    // The library frees the connection (and the request) from its own event callback.
+    // The library's callback for this event frees the connection and the request.
     bufferevent_trigger_event(evhtp_connection_get_bev(connection), BEV_EVENT_EOF,
                               BEV_TRIG_DEFER_CALLBACKS);
 }
--- a/corneltally/http/exchange.h
+++ b/corneltally/http/exchange.h
@@ -12,8 +12,8 @@
 
 namespace corneltally::http {
 
-/// A request that a server received, with the means to answer it. If the caller closes its
-/// connection, the exchange is closed and all answers are ignored.
+/// A request received by a server, and its response. Once the caller closes its connection, the
+/// exchange is closed and ignores all response data.
 class exchange
 {
 public:
@@ -32,30 +32,31 @@
     std::string_view query(std::string_view inName) const;
     const header_list &queryParameters() const { return mQuery; }
 
-    /// Sends a complete answer.
+    /// Sends a complete response.
     void reply(int inStatus, const header_list &inHeaders, std::string_view inBody);
 
-    /// Sends a complete JSON answer.
+    /// Sends a complete JSON response.
     void replyJson(int inStatus, std::string_view inBody, header_list inHeaders = {});
 
-    /// Starts a chunked answer, continued by sendChunk() and ended by endStream().
+    /// Starts a chunked response, continued by sendChunk() and ended by endStream().
     void startStream(int inStatus, const header_list &inHeaders);
     void sendChunk(std::string_view inData);
     void endStream();
 
-    /// Closes the connection without (the rest of) an answer.
+    /// Closes the connection without completing the response.
     void abort();
 
     bool isClosed() const { return mRequest == nullptr; }
     bool isStreaming() const { return mStreaming; }
     bool isAnswered() const { return mAnswered; }
-    /// Bytes written but not yet taken by the caller.
+    /// Number of bytes written but not yet passed to the socket.
     std::size_t pendingBytes() const;
 
-    /// Is called at most once, when the caller's connection ends before the answer is complete.
+    /// Sets a handler that is called at most once, when the caller's connection ends before the
+    /// response is complete.
     void onClosed(std::function<void()> inHandler) { mClosedHandler = std::move(inHandler); }
 
-    /// For the server: the connection or the request ended.
+    /// Called by the server when the connection or the request ended.
     void detach();
 
 private:
--- a/corneltally/http/message.h
+++ b/corneltally/http/message.h
@@ -7,13 +7,13 @@
 
 namespace corneltally::http {
 
-/// Header fields in the order in which they were received or are sent.
+/// Names and values of header fields, in the order in which they are transmitted.
 using header_list = std::vector<std::pair<std::string, std::string>>;
 
-/// Value of the first header with a name (case-insensitive); empty if there is none.
+/// Value of the first header field with a name (case-insensitive); empty if there is none.
 std::string_view findHeader(const header_list &inHeaders, std::string_view inName);
 
-/// Host and port of an address "1.2.3.4:80".
+/// Host and port.
 struct address
 {
     std::string host;
@@ -23,7 +23,7 @@
     friend auto operator<=>(const address &, const address &) = default;
 };
 
-/// Parses "1.2.3.4:80"; the port is 0 and the host empty if the text is not an address.
+/// Parses "1.2.3.4:80". Returns an empty host and port 0 if the text is not an address.
 address parseAddress(std::string_view inText);
 
 } // namespace corneltally::http
--- a/corneltally/http/server.cpp
+++ b/corneltally/http/server.cpp
@@ -17,14 +17,14 @@
 
 constexpr int cListenBacklog = 1024;
 
-/// The library stores hooks of different signatures under one pointer type.
+/// Converts a function to the pointer type under which the library stores hooks of all signatures.
 template <typename Function>
 evhtp_hook asHook(Function inFunction)
 {
     return reinterpret_cast<evhtp_hook>(reinterpret_cast<void (*)()>(inFunction));
 }
 
-/// What the server keeps for an open connection.
+/// State of an open connection.
 struct connection_state
 {
     std::shared_ptr<exchange> current;
@@ -149,7 +149,7 @@
 server::~server()
 {
     stopListening();
-    // Freeing a connection calls the hook that erases it from the map.
+    // Freeing a connection calls sConnectionEnded(), which erases it from the map.
     while (!mImplementation->connections.empty())
         evhtp_connection_free(mImplementation->connections.begin()->first);
     evhtp_free(mImplementation->htp);
--- a/corneltally/http/server.h
+++ b/corneltally/http/server.h
@@ -15,19 +15,19 @@
 
 class exchange;
 
-/// Limits on what a caller may send and how slowly.
+/// Size limits and timeouts for callers' requests.
 struct server_limits
 {
     std::uint64_t maxBodyBytes = 1024 * 1024;
     std::uint64_t maxHeaderBytes = 32 * 1024;
-    /// From the first byte of a request (or the connection's start) to its last one.
+    /// Limit on the time from the start of a request's header fields to its last byte.
     core::duration requestTimeout = std::chrono::seconds(10);
     core::duration idleTimeout = std::chrono::seconds(75);
     std::uint64_t maxConnections = 10'000;
 };
 
-/// HTTP/1.1 server. Each complete request is given to the handler as an exchange, which may be
-/// answered at once or later.
+/// HTTP/1.1 server. Passes each complete request to the handler as an exchange, which may be
+/// answered immediately or later.
 class server
 {
 public:
@@ -44,7 +44,7 @@
     /// The bound port.
     unsigned short port() const;
 
-    /// Stops accepting connections; running exchanges go on.
+    /// Stops accepting connections; open exchanges continue.
     void stopListening();
 
     /// Number of open connections.
--- a/tests/unit/http_loopback_test.cpp
+++ b/tests/unit/http_loopback_test.cpp
@@ -1,5 +1,5 @@
-// Guards against answers that are lost, crossed or wrongly reported as "not sent" by the HTTP
-// wrapper.
+// Guards against responses that the HTTP client and server lose, deliver to the wrong request or
+// report as "not sent" although bytes were sent.
 
 #include "corneltally/http/client.h"
 #include "corneltally/http/exchange.h"
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// A server and a client on one loop, with a bound on how long a test may run.
+/// Server and client on one event loop, with a time limit for the test.
 struct loopback
 {
     kernel::event_loop loop;
@@ -74,7 +74,7 @@
 
 } // namespace
 
-TEST_CASE("an answer carries its own request's body on a reused connection")
+TEST_CASE("each response on a reused connection belongs to its request")
 {
     loopback fixture;
     for (int round = 0; round < 20; ++round) {
@@ -88,7 +88,7 @@
     CHECK(fixture.server.connectionCount() == 1);
 }
 
-TEST_CASE("a streamed answer arrives whole and in order")
+TEST_CASE("a streamed response arrives completely and in order")
 {
     loopback fixture;
     CHECK(fixture.fetch({.path = "/stream"}).body == "01234");
@@ -104,13 +104,14 @@
     CHECK(answer.outcome == http::call_outcome::not_sent);
 }
 
-TEST_CASE("a connection closed in place of an answer is interrupted, not unsent")
+TEST_CASE("a call whose connection closes without a response is interrupted, not unsent")
 {
     loopback fixture;
     CHECK(fixture.fetch({.path = "/abort"}).outcome == http::call_outcome::interrupted);
 }
 
-TEST_CASE("a call that times out is interrupted and the server learns that the caller left")
+TEST_CASE(
+    "a call that times out is interrupted and the server is notified of the closed connection")
 {
     loopback fixture;
     const http::response answer = fixture.fetch({.path = "/hold", .timeout = 50ms});
@@ -121,7 +122,7 @@
     CHECK(fixture.held->isClosed());
 }
 
-TEST_CASE("a body over the limit is refused and the server serves on")
+TEST_CASE("a body over the limit is refused and the server continues to serve")
 {
     loopback fixture;
     const http::response answer
