--- a/tests/unit/http_loopback_test.cpp
+++ b/tests/unit/http_loopback_test.cpp
@@ -20,12 +20,12 @@
 struct loopback
 {
     kernel::event_loop loop;
-    std::shared_ptr<http::exchange> held;
+    std::shared_ptr<http::exchange> openExchange;
     http::server server{
         loop, [this](const auto &inExchange) { handle(inExchange); }, {.maxBodyBytes = 4096}};
     http::client client{loop};
     kernel::timer limit{loop, [this] { loop.stop(); }};
-    bool callerLeft = false;
+    bool callerClosed = false;
 
     loopback()
     {
@@ -45,9 +45,9 @@
         } else if (inExchange->path() == "/abort") {
             inExchange->abort();
         } else {
-            held = inExchange;
+            openExchange = inExchange;
             inExchange->onClosed([this] {
-                callerLeft = true;
+                callerClosed = true;
                 loop.stop();
             });
         }
@@ -61,14 +61,14 @@
 
     http::response fetchFrom(http::call_request inRequest)
     {
-        std::optional<http::response> answer;
+        std::optional<http::response> response;
         http::fetch(client, std::move(inRequest), [&](const http::response &inResponse) {
-            answer = inResponse;
+            response = inResponse;
             loop.stop();
         });
         loop.run();
-        REQUIRE(answer.has_value());
-        return *answer;
+        REQUIRE(response.has_value());
+        return *response;
     }
 };
 
@@ -79,11 +79,11 @@
     loopback fixture;
     for (int round = 0; round < 20; ++round) {
         const std::string body = "body " + std::to_string(round);
-        const http::response answer
+        const http::response response
             = fixture.fetch({.method = "POST", .path = "/echo", .body = body});
-        CHECK(answer.outcome == http::call_outcome::completed);
-        CHECK(answer.status == 200);
-        CHECK(answer.body == body);
+        CHECK(response.outcome == http::call_outcome::completed);
+        CHECK(response.status == 200);
+        CHECK(response.body == body);
     }
     CHECK(fixture.server.connectionCount() == 1);
 }
@@ -99,9 +99,9 @@
     loopback fixture;
     const unsigned short port = fixture.server.port();
     fixture.server.stopListening();
-    const http::response answer = fixture.fetchFrom(
+    const http::response response = fixture.fetchFrom(
         {.target = {"127.0.0.1", port}, .path = "/echo", .freshConnection = true});
-    CHECK(answer.outcome == http::call_outcome::not_sent);
+    CHECK(response.outcome == http::call_outcome::not_sent);
 }
 
 TEST_CASE("a call whose connection closes without a response is interrupted, not unsent")
@@ -114,19 +114,19 @@
     "a call that times out is interrupted and the server is notified of the closed connection")
 {
     loopback fixture;
-    const http::response answer = fixture.fetch({.path = "/hold", .timeout = 50ms});
-    CHECK(answer.outcome == http::call_outcome::interrupted);
-    if (!fixture.callerLeft)
+    const http::response response = fixture.fetch({.path = "/hold", .timeout = 50ms});
+    CHECK(response.outcome == http::call_outcome::interrupted);
+    if (!fixture.callerClosed)
         fixture.loop.run();
-    CHECK(fixture.callerLeft);
-    CHECK(fixture.held->isClosed());
+    CHECK(fixture.callerClosed);
+    CHECK(fixture.openExchange->isClosed());
 }
 
 TEST_CASE("a body over the limit is refused and the server continues to serve")
 {
     loopback fixture;
-    const http::response answer
+    const http::response response
         = fixture.fetch({.method = "POST", .path = "/echo", .body = std::string(100'000, 'x')});
-    CHECK(answer.status != 200);
+    CHECK(response.status != 200);
     CHECK(fixture.fetch({.method = "POST", .path = "/echo", .body = "next"}).body == "next");
 }
