--- a/corneltally/endpoint/engine_client.cpp
+++ b/corneltally/endpoint/engine_client.cpp
@@ -15,7 +15,7 @@
 constexpr core::duration cUnloadTimeout = 5s;
 /// A load takes 0.25 s, but waits for others at the weight store.
 constexpr core::duration cLoadTimeout = 30s;
-constexpr std::size_t cMaxAnswerBytes = 8 * 1024 * 1024;
+constexpr std::size_t cMaxResponseBytes = 8 * 1024 * 1024;
 
 std::string runPath(const engine_run &inRun)
 {
@@ -41,7 +41,7 @@
     return inResponse.status >= 500 ? engine_outcome::unknown : engine_outcome::completed;
 }
 
-std::string reasonOf(const http::response &inResponse, std::string_view inErrorType)
+std::string describeResult(const http::response &inResponse, std::string_view inErrorType)
 {
     switch (inResponse.outcome) {
     case http::call_outcome::not_sent:
@@ -139,7 +139,7 @@
               const std::string type = errorType(inResponse.body);
               const auto highest = highestFence(inResponse.body);
               engine_fence_result result{classify(inResponse, type), highest.value_or(0),
-                                         reasonOf(inResponse, type)};
+                                         describeResult(inResponse, type)};
               if (result.outcome == engine_outcome::completed
                   && (inResponse.status != 200 || !highest))
                   result.outcome = engine_outcome::refused;
@@ -158,7 +158,7 @@
               const std::string type = errorType(inResponse.body);
               const std::uint64_t highest = highestFence(inResponse.body).value_or(0);
               engine_fence_result result{classify(inResponse, type), highest,
-                                         reasonOf(inResponse, type)};
+                                         describeResult(inResponse, type)};
               if (result.outcome == engine_outcome::completed
                   && (inResponse.status != 200 || highest > inFence))
                   result.outcome = engine_outcome::stale_fence;
@@ -168,17 +168,17 @@
 
 void engine_client::readState(state_handler inHandler)
 {
-    const core::time_point askedAt = core::boot_clock::now();
+    const core::time_point requestedAt = core::boot_clock::now();
     fetch({.path = "/v1/state", .timeout = cQueryTimeout},
-          [askedAt, handler = std::move(inHandler)](const http::response &inResponse) {
+          [requestedAt, handler = std::move(inHandler)](const http::response &inResponse) {
               if (inResponse.outcome == http::call_outcome::completed && inResponse.status == 200) {
-                  if (const auto state = parseState(inResponse.body, askedAt)) {
+                  if (const auto state = parseState(inResponse.body, requestedAt)) {
                       handler(*state);
                       return;
                   }
               }
               engine_state failed;
-              failed.reason = reasonOf(inResponse, errorType(inResponse.body));
+              failed.reason = describeResult(inResponse, errorType(inResponse.body));
               handler(failed);
           });
 }
@@ -195,15 +195,16 @@
     call.nextIndex = inFrom;
     call.wireCall = mClient.call(
         std::move(inRequest),
-        {.onHead
-         = [this, id](int inStatus,
-                      const http::header_list &inHeaders) { takeHead(id, inStatus, inHeaders); },
-         .onData = [this, id](std::string_view inData) { takeData(id, inData); },
+        {.onHead =
+             [this, id](int inStatus, const http::header_list &inHeaders) {
+                 headReceived(id, inStatus, inHeaders);
+             },
+         .onData = [this, id](std::string_view inData) { dataReceived(id, inData); },
          .onEnd = [this, id](http::call_outcome inOutcome) { finish(id, inOutcome); }});
     return id;
 }
 
-void engine_client::takeHead(call_id inCall, int inStatus, const http::header_list &inHeaders)
+void engine_client::headReceived(call_id inCall, int inStatus, const http::header_list &inHeaders)
 {
     const auto found = mCalls.find(inCall);
     if (found == mCalls.end())
@@ -213,28 +214,28 @@
     call.headers = inHeaders;
     // Answers with another status are read whole before it is known what they mean.
     call.stream = call.stream && inStatus == 200;
-    const std::string_view answeredId = http::findHeader(inHeaders, "X-Request-Id");
-    if (inStatus == 200 && (answeredId.empty() || answeredId == call.requestId)) {
+    const std::string_view responseId = http::findHeader(inHeaders, "X-Request-Id");
+    if (inStatus == 200 && (responseId.empty() || responseId == call.requestId)) {
         const auto onHead = call.events.onHead;
         onHead(inStatus, std::string(http::findHeader(inHeaders, "Content-Type")));
     }
 }
 
-void engine_client::takeData(call_id inCall, std::string_view inData)
+void engine_client::dataReceived(call_id inCall, std::string_view inData)
 {
     const auto found = mCalls.find(inCall);
     if (found == mCalls.end())
         return;
     running_call &call = found->second;
-    const std::string_view answeredId = http::findHeader(call.headers, "X-Request-Id");
-    if (!answeredId.empty() && answeredId != call.requestId) {
-        breakOff(inCall, "the engine sent the answer of another request");
+    const std::string_view responseId = http::findHeader(call.headers, "X-Request-Id");
+    if (!responseId.empty() && responseId != call.requestId) {
+        abortCall(inCall, "the engine sent the answer of another request");
         return;
     }
     if (!call.stream) {
         call.body.append(inData);
-        if (call.body.size() > cMaxAnswerBytes)
-            breakOff(inCall, "the engine's answer is too long");
+        if (call.body.size() > cMaxResponseBytes)
+            abortCall(inCall, "the engine's answer is too long");
         return;
     }
     for (const std::string &event : call.parser.feed(inData)) {
@@ -249,7 +250,7 @@
     }
     const auto current = mCalls.find(inCall);
     if (current != mCalls.end() && current->second.parser.isTooLong())
-        breakOff(inCall, "an event of the engine's stream is too long");
+        abortCall(inCall, "an event of the engine's stream is too long");
 }
 
 void engine_client::finish(call_id inCall, http::call_outcome inOutcome)
@@ -277,10 +278,11 @@
         }
         call.events.onChunk(0, call.body);
     }
-    call.events.onEnd({outcome, completionTokens(call.body).value_or(0), reasonOf(response, type)});
+    call.events.onEnd(
+        {outcome, completionTokens(call.body).value_or(0), describeResult(response, type)});
 }
 
-void engine_client::breakOff(call_id inCall, const char *inReason)
+void engine_client::abortCall(call_id inCall, const char *inReason)
 {
     const auto found = mCalls.find(inCall);
     const running_call call = std::move(found->second);
@@ -303,7 +305,8 @@
            .timeout = inTimeout},
           [handler = std::move(inHandler)](const http::response &inResponse) {
               const std::string type = errorType(inResponse.body);
-              engine_command_result result{classify(inResponse, type), reasonOf(inResponse, type)};
+              engine_command_result result{classify(inResponse, type),
+                                           describeResult(inResponse, type)};
               // A complete answer other than 200 reports that the command failed.
               if (inResponse.outcome == http::call_outcome::completed && inResponse.status != 200
                   && result.outcome != engine_outcome::stale_fence
--- a/corneltally/endpoint/engine_client.h
+++ b/corneltally/endpoint/engine_client.h
@@ -67,10 +67,10 @@
 
     call_id start(const engine_run &inRun, http::call_request inRequest, std::uint64_t inFrom,
                   bool inStreams, engine_run_events inEvents);
-    void takeHead(call_id inCall, int inStatus, const http::header_list &inHeaders);
-    void takeData(call_id inCall, std::string_view inData);
+    void headReceived(call_id inCall, int inStatus, const http::header_list &inHeaders);
+    void dataReceived(call_id inCall, std::string_view inData);
     void finish(call_id inCall, http::call_outcome inOutcome);
-    void breakOff(call_id inCall, const char *inReason);
+    void abortCall(call_id inCall, const char *inReason);
     void command(std::string_view inCommand, const std::string &inAdapter,
                  const std::string &inVersion, std::uint64_t inFence, core::duration inTimeout,
                  command_handler inHandler);
--- a/corneltally/endpoint/engine_json.cpp
+++ b/corneltally/endpoint/engine_json.cpp
@@ -64,7 +64,7 @@
     return found->get<std::uint64_t>();
 }
 
-std::optional<engine_state> parseState(std::string_view inBody, core::time_point inAskedAt)
+std::optional<engine_state> parseState(std::string_view inBody, core::time_point inRequestedAt)
 {
     try {
         const json body = json::parse(inBody);
@@ -75,7 +75,7 @@
         state.loading = parseAdapters(body, "loading");
         state.queued = body.value("queued", 0);
         const core::duration age = std::chrono::milliseconds(body.at("age_ms").get<std::int64_t>());
-        state.described = inAskedAt - age;
+        state.describedAt = inRequestedAt - age;
         return state;
     } catch (const json::exception &) {
         return std::nullopt;
--- a/corneltally/endpoint/engine_json.h
+++ b/corneltally/endpoint/engine_json.h
@@ -21,8 +21,8 @@
 /// "highest" of a fence answer.
 std::optional<std::uint64_t> highestFence(std::string_view inBody);
 
-/// Reads a state report; inAskedAt is when it was asked for.
-std::optional<engine_state> parseState(std::string_view inBody, core::time_point inAskedAt);
+/// Reads a state report; inRequestedAt is when it was asked for.
+std::optional<engine_state> parseState(std::string_view inBody, core::time_point inRequestedAt);
 
 /// Number of output tokens in the usage part of an answer or event, if there is one.
 std::optional<double> completionTokens(std::string_view inText);
--- a/corneltally/endpoint/engine_messages.h
+++ b/corneltally/endpoint/engine_messages.h
@@ -96,7 +96,7 @@
     std::vector<engine_adapter> loading;
     int queued = 0;
     /// The report describes this moment or a later one: when it was asked for, minus its age.
-    core::time_point described;
+    core::time_point describedAt;
     std::string reason;
 };
 
--- a/corneltally/endpoint/service_client.cpp
+++ b/corneltally/endpoint/service_client.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-int secondsOf(std::string_view inText)
+int parseSeconds(std::string_view inText)
 {
     int seconds = 0;
     std::from_chars(inText.data(), inText.data() + inText.size(), seconds);
@@ -38,21 +38,22 @@
 
 } // namespace
 
-service_answer classifyAnswer(const http::response &inResponse, std::string_view inRequestId)
+service_result classifyResponse(const http::response &inResponse, std::string_view inRequestId)
 {
     if (inResponse.outcome == http::call_outcome::not_sent)
         return {.outcome = service_outcome::not_run, .reason = "the service could not be reached"};
     if (inResponse.outcome == http::call_outcome::interrupted)
         return {.outcome = service_outcome::unknown,
                 .reason = "the connection to the service ended without a complete answer"};
-    const std::string_view answeredId = http::findHeader(inResponse.headers, "X-Request-Id");
-    if (!answeredId.empty() && answeredId != inRequestId)
+    const std::string_view responseId = http::findHeader(inResponse.headers, "X-Request-Id");
+    if (!responseId.empty() && responseId != inRequestId)
         return {.outcome = service_outcome::unknown,
                 .reason = "the service sent the answer of another request"};
     if (inResponse.status == 503 && http::findHeader(inResponse.headers, "X-Not-Run") == "true")
         return {.outcome = service_outcome::not_run,
                 .status = inResponse.status,
-                .retryAfterSeconds = secondsOf(http::findHeader(inResponse.headers, "Retry-After")),
+                .retryAfterSeconds
+                = parseSeconds(http::findHeader(inResponse.headers, "Retry-After")),
                 .reason = "the service refused the request"};
     if (inResponse.status >= 500)
         return {.outcome = service_outcome::unknown,
@@ -75,13 +76,14 @@
     const call_id id = mNextId++;
     running_call &running = mCalls[id];
     running.requestId = inCall.requestId;
-    running.onAnswer = std::move(inHandler);
+    running.onResult = std::move(inHandler);
     running.wireCall = mClient.call(
         wireRequest(std::move(inCall)),
-        {.onHead
-         = [this, id](int inStatus,
-                      const http::header_list &inHeaders) { takeHead(id, inStatus, inHeaders); },
-         .onData = [this, id](std::string_view inData) { takeData(id, inData); },
+        {.onHead =
+             [this, id](int inStatus, const http::header_list &inHeaders) {
+                 headReceived(id, inStatus, inHeaders);
+             },
+         .onData = [this, id](std::string_view inData) { dataReceived(id, inData); },
          .onEnd = [this, id](http::call_outcome inOutcome) { finish(id, inOutcome); }});
     return id;
 }
@@ -95,7 +97,7 @@
     mCalls.erase(found);
 }
 
-void service_client::takeHead(call_id inCall, int inStatus, const http::header_list &inHeaders)
+void service_client::headReceived(call_id inCall, int inStatus, const http::header_list &inHeaders)
 {
     const auto found = mCalls.find(inCall);
     if (found == mCalls.end())
@@ -104,16 +106,16 @@
     found->second.response.headers = inHeaders;
 }
 
-void service_client::takeData(call_id inCall, std::string_view inData)
+void service_client::dataReceived(call_id inCall, std::string_view inData)
 {
     const auto found = mCalls.find(inCall);
     if (found == mCalls.end())
         return;
     running_call &running = found->second;
     running.response.body.append(inData);
-    const std::string_view answeredId = http::findHeader(running.response.headers, "X-Request-Id");
-    const bool foreign = !answeredId.empty() && answeredId != running.requestId;
-    if (!foreign && running.response.body.size() <= sMaxAnswerBytes)
+    const std::string_view responseId = http::findHeader(running.response.headers, "X-Request-Id");
+    const bool mismatched = !responseId.empty() && responseId != running.requestId;
+    if (!mismatched && running.response.body.size() <= sMaxResponseBytes)
         return;
     // Closes the connection, so that what follows on it is not taken for another answer.
     mClient.cancel(running.wireCall);
@@ -128,7 +130,7 @@
     running_call running = std::move(found->second);
     mCalls.erase(found);
     running.response.outcome = inOutcome;
-    running.onAnswer(classifyAnswer(running.response, running.requestId));
+    running.onResult(classifyResponse(running.response, running.requestId));
 }
 
 } // namespace corneltally::endpoint
--- a/corneltally/endpoint/service_client.h
+++ b/corneltally/endpoint/service_client.h
@@ -39,7 +39,7 @@
 };
 
 /// Result of a call to an application service.
-struct service_answer
+struct service_result
 {
     service_outcome outcome = service_outcome::unknown;
     int status = 0;
@@ -52,17 +52,17 @@
 
 /// What an answer says about whether the request ran. The call's own id guards against an answer
 /// that belongs to another request.
-service_answer classifyAnswer(const http::response &inResponse, std::string_view inRequestId);
+service_result classifyResponse(const http::response &inResponse, std::string_view inRequestId);
 
 /// Calls application services.
 class service_client
 {
 public:
     /// Longest answer that is accepted.
-    static constexpr std::size_t sMaxAnswerBytes = 16 * 1024 * 1024;
+    static constexpr std::size_t sMaxResponseBytes = 16 * 1024 * 1024;
 
     using call_id = std::uint64_t;
-    using handler = std::function<void(const service_answer &)>;
+    using handler = std::function<void(const service_result &)>;
 
     explicit service_client(kernel::event_loop &inLoop);
     ~service_client();
@@ -79,11 +79,11 @@
         http::client::call_id wireCall = 0;
         std::string requestId;
         http::response response;
-        handler onAnswer;
+        handler onResult;
     };
 
-    void takeHead(call_id inCall, int inStatus, const http::header_list &inHeaders);
-    void takeData(call_id inCall, std::string_view inData);
+    void headReceived(call_id inCall, int inStatus, const http::header_list &inHeaders);
+    void dataReceived(call_id inCall, std::string_view inData);
     void finish(call_id inCall, http::call_outcome inOutcome);
 
     http::client mClient;
--- a/corneltally/entry/dispatch_service.cpp
+++ b/corneltally/entry/dispatch_service.cpp
@@ -217,13 +217,13 @@
          .orderId = request.orderId,
          .timeout = timeout,
          .freshConnection = !request.repeatable},
-        [this, id = request.requestId](const endpoint::service_answer &inAnswer) {
+        [this, id = request.requestId](const endpoint::service_result &inAnswer) {
             handleServiceAnswer(id, inAnswer);
         });
 }
 
 void dispatch_service::handleServiceAnswer(const std::string &inRequestId,
-                                           const endpoint::service_answer &inAnswer)
+                                           const endpoint::service_result &inAnswer)
 {
     const auto found = mRuns.find(inRequestId);
     if (found == mRuns.end())
--- a/corneltally/entry/dispatch_service.h
+++ b/corneltally/entry/dispatch_service.h
@@ -54,7 +54,7 @@
     void handleEvent(const run_event &inEvent, const std::string &inFrom);
     void handleChunk(dispatched_run &ioRun, const run_chunk &inChunk);
     void handleServiceAnswer(const std::string &inRequestId,
-                             const endpoint::service_answer &inAnswer);
+                             const endpoint::service_result &inAnswer);
     void handleEnd(dispatched_run &ioRun, run_end inEnd);
     void handleFailedAttempt(dispatched_run &ioRun, run_end inEnd);
     void repeatOrFinish(dispatched_run &ioRun, run_end inEnd, bool inUseRetryBudget);
--- a/corneltally/entry/owned_endpoint_impl.h
+++ b/corneltally/entry/owned_endpoint_impl.h
@@ -260,7 +260,7 @@
     }
     // The endpoint restarted and accepts the numbers of earlier owners again.
     if (mView.checksFencing && isOwning() && inState.fence < mTakeover.fence()
-        && inState.described > mAcquiredAt)
+        && inState.describedAt > mAcquiredAt)
         mNeedsNewFence = true;
     mFailedPolls = 0;
     std::vector<ownership::adapter_use> uses;
@@ -274,8 +274,8 @@
     }
     for (const endpoint::engine_adapter &entry : inState.loading)
         loading.push_back(adapterName(entry.adapter, entry.version));
-    mTakeover.reported(uses, inState.described);
-    mSlots.reported(resident, loading, inState.described, mHooks.now());
+    mTakeover.reported(uses, inState.describedAt);
+    mSlots.reported(resident, loading, inState.describedAt, mHooks.now());
     mSlots.prune(mHooks.now());
     mReported = true;
     startRuns();
--- a/corneltally/entry/peers_service.cpp
+++ b/corneltally/entry/peers_service.cpp
@@ -154,7 +154,7 @@
     std::vector<link_id> silent;
     for (const auto &[id, link] : mLinks) {
         const bool known = !link.dialed || mRemotes.contains(link.instance);
-        if (!known || inNow - link.connection->lastProgress() >= membership::peer_table::cDownAfter)
+        if (!known || inNow - link.connection->lastReceived() >= membership::peer_table::cDownAfter)
             silent.push_back(id);
     }
     for (const link_id id : silent)
@@ -170,7 +170,7 @@
         const bool connected = std::ranges::any_of(mLinks, [&](const auto &inEntry) {
             const link &candidate = inEntry.second;
             return candidate.dialed && candidate.instance == instance
-                && inNow - candidate.connection->lastProgress()
+                && inNow - candidate.connection->lastReceived()
                 < membership::peer_table::cSuspectAfter;
         });
         if (connected || target.address.port == 0
@@ -188,7 +188,7 @@
     remote &target = mRemotes.find(inInstance)->second;
     const auto healthy = [&](const link &inLink) {
         return inLink.helloSent && inLink.instance == inInstance && inLink.incarnation != 0
-            && inNow - inLink.connection->lastProgress() < membership::peer_table::cSuspectAfter;
+            && inNow - inLink.connection->lastReceived() < membership::peer_table::cSuspectAfter;
     };
     const auto current = mLinks.find(target.active);
     if (current != mLinks.end() && healthy(current->second))
@@ -432,7 +432,7 @@
     text.append("],\"draining\":[").append(joinAsJson(view.draining)).append("],\"links\":[");
     bool first = true;
     for (const auto &[id, link] : mLinks) {
-        const auto silent = now - link.connection->lastProgress();
+        const auto silent = now - link.connection->lastReceived();
         const auto target = mRemotes.find(link.instance);
         const bool active = target != mRemotes.end() && target->second.active == id;
         text.append(first ? "{" : ",{");
--- a/corneltally/peer/connection.cpp
+++ b/corneltally/peer/connection.cpp
@@ -63,7 +63,7 @@
             evbuffer_drain(input, cFrameHeaderBytes);
             std::string body(*length, '\0');
             evbuffer_remove(input, body.data(), body.size());
-            self->owner->mLastProgress = core::boot_clock::now();
+            self->owner->mLastReceived = core::boot_clock::now();
             if (self->events.onFrame)
                 self->events.onFrame(body);
         }
@@ -83,7 +83,7 @@
 
 connection::connection(kernel::event_loop &inLoop, const std::string &inHost, unsigned short inPort)
     : mState(std::make_shared<state>())
-    , mLastProgress(core::boot_clock::now())
+    , mLastReceived(core::boot_clock::now())
 {
     mState->owner = this;
     // Deferred callbacks keep a connect that fails at once from reporting inside this call.
@@ -101,7 +101,7 @@
 
 connection::connection(kernel::event_loop &inLoop, int inSocket)
     : mState(std::make_shared<state>())
-    , mLastProgress(core::boot_clock::now())
+    , mLastReceived(core::boot_clock::now())
 {
     mState->owner = this;
     disableDelay(inSocket);
--- a/corneltally/peer/connection.h
+++ b/corneltally/peer/connection.h
@@ -44,7 +44,7 @@
     bool send(std::string_view inBody);
 
     /// When the last complete frame arrived, or when the connection was created.
-    core::time_point lastProgress() const { return mLastProgress; }
+    core::time_point lastReceived() const { return mLastReceived; }
 
     std::size_t backlogBytes() const;
 
@@ -52,7 +52,7 @@
     struct state;
 
     std::shared_ptr<state> mState;
-    core::time_point mLastProgress;
+    core::time_point mLastReceived;
 };
 
 } // namespace corneltally::peer
--- a/tests/unit/endpoint_engine_client_test.cpp
+++ b/tests/unit/endpoint_engine_client_test.cpp
@@ -23,16 +23,16 @@
 
 struct client_fixture
 {
-    using answer = std::function<void(http::exchange &)>;
+    using responder_function = std::function<void(http::exchange &)>;
 
     kernel::event_loop loop;
-    answer reply;
+    responder_function responder;
     std::string seenBody;
     std::string seenFence;
     http::server server{loop, [this](const auto &inExchange) {
                             seenBody = inExchange->body();
                             seenFence = inExchange->header("X-Fence");
-                            reply(*inExchange);
+                            responder(*inExchange);
                         }};
     kernel::timer limit{loop, [this] { loop.stop(); }};
     std::optional<endpoint::engine_client> client;
@@ -46,9 +46,9 @@
         limit.startOnce(20s);
     }
 
-    endpoint::engine_run_end run(answer inReply, bool inStream = true)
+    endpoint::engine_run_end run(responder_function inResponder, bool inStream = true)
     {
-        reply = std::move(inReply);
+        responder = std::move(inResponder);
         parts.clear();
         heads = 0;
         std::optional<endpoint::engine_run_end> end;
@@ -145,12 +145,12 @@
 TEST_CASE("the answer of another request is discarded")
 {
     client_fixture fixture;
-    const auto foreign = fixture.run(
+    const auto mismatched = fixture.run(
         [](http::exchange &ioExchange) {
             ioExchange.replyJson(200, R"({"text":"not yours"})", {{"X-Request-Id", "r2"}});
         },
         false);
-    CHECK(foreign.outcome == engine_outcome::unknown);
+    CHECK(mismatched.outcome == engine_outcome::unknown);
     CHECK(fixture.parts.empty());
     CHECK(fixture.heads == 0);
 }
@@ -164,13 +164,13 @@
 
 TEST_CASE("a report describes at the latest the moment when it was asked for, minus its age")
 {
-    const core::time_point asked(100s);
+    const core::time_point requestedAt(100s);
     const auto state = endpoint::parseState(
         R"({"fence":5,"resident":[{"adapter":"a","version":"1","running":2}],"loading":[],"queued":1,"age_ms":200})",
-        asked);
+        requestedAt);
     REQUIRE(state.has_value());
-    CHECK(state->described == asked - 200ms);
+    CHECK(state->describedAt == requestedAt - 200ms);
     CHECK(state->resident.at(0).running == 2);
-    CHECK_FALSE(endpoint::parseState("{}", asked).has_value());
-    CHECK_FALSE(endpoint::parseState("[", asked).has_value());
+    CHECK_FALSE(endpoint::parseState("{}", requestedAt).has_value());
+    CHECK_FALSE(endpoint::parseState("[", requestedAt).has_value());
 }
--- a/tests/unit/entry_dispatch_rules_test.cpp
+++ b/tests/unit/entry_dispatch_rules_test.cpp
@@ -12,7 +12,7 @@
 using namespace corneltally;
 using namespace corneltally::entry;
 using namespace std::chrono_literals;
-using endpoint::classifyAnswer;
+using endpoint::classifyResponse;
 using endpoint::service_outcome;
 
 TEST_CASE("a run with an unknown outcome is repeated on repeatable routes only")
@@ -85,19 +85,19 @@
 
 TEST_CASE("a failed service call counts as not run only with proof")
 {
-    CHECK(classifyAnswer({.outcome = http::call_outcome::not_sent}, "r").outcome
+    CHECK(classifyResponse({.outcome = http::call_outcome::not_sent}, "r").outcome
           == service_outcome::not_run);
-    CHECK(classifyAnswer({.outcome = http::call_outcome::interrupted}, "r").outcome
+    CHECK(classifyResponse({.outcome = http::call_outcome::interrupted}, "r").outcome
           == service_outcome::unknown);
     http::response answer{.outcome = http::call_outcome::completed, .status = 503};
-    CHECK(classifyAnswer(answer, "r").outcome == service_outcome::unknown);
+    CHECK(classifyResponse(answer, "r").outcome == service_outcome::unknown);
     answer.headers = {{"x-not-run", "true"}, {"Retry-After", "4"}};
-    CHECK(classifyAnswer(answer, "r").outcome == service_outcome::not_run);
-    CHECK(classifyAnswer(answer, "r").retryAfterSeconds == 4);
+    CHECK(classifyResponse(answer, "r").outcome == service_outcome::not_run);
+    CHECK(classifyResponse(answer, "r").retryAfterSeconds == 4);
     answer.status = 500;
-    CHECK(classifyAnswer(answer, "r").outcome == service_outcome::unknown);
+    CHECK(classifyResponse(answer, "r").outcome == service_outcome::unknown);
     answer.status = 409;
-    CHECK(classifyAnswer(answer, "r").outcome == service_outcome::answered);
+    CHECK(classifyResponse(answer, "r").outcome == service_outcome::answered);
 }
 
 TEST_CASE("the answer of another request is not passed on")
@@ -106,7 +106,7 @@
                                 .status = 200,
                                 .headers = {{"X-Request-Id", "other"}},
                                 .body = "secret"};
-    CHECK(classifyAnswer(answer, "r").outcome == service_outcome::unknown);
-    CHECK(classifyAnswer(answer, "r").body.empty());
-    CHECK(classifyAnswer(answer, "other").outcome == service_outcome::answered);
+    CHECK(classifyResponse(answer, "r").outcome == service_outcome::unknown);
+    CHECK(classifyResponse(answer, "r").body.empty());
+    CHECK(classifyResponse(answer, "other").outcome == service_outcome::answered);
 }
--- a/tests/unit/ownership_mock_engine.h
+++ b/tests/unit/ownership_mock_engine.h
@@ -203,7 +203,7 @@
                  endpoint::engine_state state;
                  state.outcome = endpoint::engine_outcome::completed;
                  state.fence = mEndpoint.highest;
-                 state.described = askedAt - reportAge;
+                 state.describedAt = askedAt - reportAge;
                  for (const std::string &name : mEndpoint.resident) {
                      const std::size_t at = name.find('@');
                      state.resident.push_back(
