--- a/corneltally/endpoint/engine_client.cpp
+++ b/corneltally/endpoint/engine_client.cpp
@@ -13,7 +13,7 @@
 
 constexpr core::duration cQueryTimeout = 2s;
 constexpr core::duration cUnloadTimeout = 5s;
-/// A load takes 0.25 s, but waits for others at the weight store.
+/// A load takes 0.25 s, but may wait for other loads at the weight store.
 constexpr core::duration cLoadTimeout = 30s;
 constexpr std::size_t cMaxResponseBytes = 8 * 1024 * 1024;
 
@@ -22,8 +22,8 @@
     return inRun.path.empty() ? "/v1/completions" : inRun.path;
 }
 
-/// What an answer means for the question of whether the call took effect. Only refusals that the
-/// protocol names prove that it did not.
+/// Determines from a response whether the call took effect. Only refusals that the protocol defines
+/// prove that it did not.
 engine_outcome classify(const http::response &inResponse, std::string_view inErrorType)
 {
     if (inResponse.outcome == http::call_outcome::not_sent)
@@ -69,7 +69,7 @@
 
 engine_client::call_id engine_client::run(const engine_run &inRun, engine_run_events inEvents)
 {
-    // Headers are built from scratch: nothing that the caller sent as a header is passed on.
+    // Sends only these headers; the caller's headers are not forwarded.
     http::call_request request{.target = mAddress,
                                .method = "POST",
                                .path = runPath(inRun),
@@ -212,7 +212,7 @@
     running_call &call = found->second;
     call.status = inStatus;
     call.headers = inHeaders;
-    // Answers with another status are read whole before it is known what they mean.
+    // A response with another status is collected completely before it is classified.
     call.stream = call.stream && inStatus == 200;
     const std::string_view responseId = http::findHeader(inHeaders, "X-Request-Id");
     if (inStatus == 200 && (responseId.empty() || responseId == call.requestId)) {
@@ -287,7 +287,7 @@
     const auto found = mCalls.find(inCall);
     const running_call call = std::move(found->second);
     mCalls.erase(found);
-    // Closes the connection, so that what follows on it is not taken for another answer.
+    // Closes the connection, so that later bytes are not mistaken for another response.
     mClient.cancel(call.wireCall);
     call.events.onEnd({engine_outcome::unknown, 0, inReason});
 }
@@ -307,7 +307,7 @@
               const std::string type = errorType(inResponse.body);
               engine_command_result result{classify(inResponse, type),
                                            describeResult(inResponse, type)};
-              // A complete answer other than 200 reports that the command failed.
+              // A complete response with a status other than 200 means that the command failed.
               if (inResponse.outcome == http::call_outcome::completed && inResponse.status != 200
                   && result.outcome != engine_outcome::stale_fence
                   && result.outcome != engine_outcome::not_resident)
--- a/corneltally/endpoint/engine_client.h
+++ b/corneltally/endpoint/engine_client.h
@@ -17,7 +17,7 @@
 
 namespace corneltally::endpoint {
 
-/// HTTP client of one engine. It repeats nothing by itself.
+/// HTTP client of one engine. It never retries a call.
 class engine_client
 {
 public:
@@ -31,16 +31,16 @@
     engine_client(const engine_client &) = delete;
     engine_client &operator=(const engine_client &) = delete;
 
-    /// Sends a run. Its parts are numbered from 0.
+    /// Sends a run. Its chunks are numbered from 0.
     call_id run(const engine_run &inRun, engine_run_events inEvents);
 
-    /// Continues a stream from a part on.
+    /// Resumes a stream at the chunk with index inFrom.
     call_id resume(const engine_run &inRun, std::uint64_t inFrom, engine_run_events inEvents);
 
-    /// Closes the connection of a run or a continuation; the engine may go on running.
+    /// Closes the connection of a run or a resumed stream. The engine may continue the run.
     void cancelCall(call_id inCall);
 
-    /// Asks the engine to end a run.
+    /// Asks the engine to cancel a run.
     void cancelStream(const std::string &inRequestId);
 
     void load(const std::string &inAdapter, const std::string &inVersion, std::uint64_t inFence,
--- a/corneltally/endpoint/engine_json.cpp
+++ b/corneltally/endpoint/engine_json.cpp
@@ -84,7 +84,7 @@
 
 std::optional<double> completionTokens(std::string_view inText)
 {
-    // Quotes inside of texts are escaped, so that this is found only as a name.
+    // Quotes inside JSON strings are escaped, so this text matches only an object key.
     static constexpr std::string_view cName = "\"completion_tokens\":";
     const std::size_t found = inText.rfind(cName);
     if (found == std::string_view::npos)
--- a/corneltally/endpoint/engine_messages.h
+++ b/corneltally/endpoint/engine_messages.h
@@ -12,23 +12,23 @@
 
 /// How a call to an engine ended.
 enum class engine_outcome : std::uint8_t {
-    /// The engine answered; for a run, with a complete answer.
+    /// The engine responded; for a run, with a complete response.
     completed,
-    /// The engine refused the call without effect: its highest fencing number is greater.
+    /// The engine refused the call without effect, because it knows a higher fencing number.
     stale_fence,
-    /// The engine refused the run without effect.
+    /// The engine refused the call without effect, because the adapter is not resident.
     not_resident,
     /// The engine refused the call without effect for another reason.
     refused,
     /// No byte was sent.
     not_sent,
-    /// A stream that should be resumed is not known to the engine.
+    /// The engine does not know the stream to resume.
     unknown_stream,
-    /// The call may have taken effect, fully or partly.
+    /// The call may have taken effect, completely or in part.
     unknown,
 };
 
-/// A run as it is sent to an engine.
+/// A run to be sent to an engine.
 struct engine_run
 {
     std::string requestId;
@@ -42,11 +42,11 @@
     bool stream = false;
     core::duration timeout{};
     core::duration streamIdle{};
-    /// A new connection, so that a failed connect proves that nothing was sent.
+    /// Opens a new connection, so that a connect failure proves that nothing was sent.
     bool freshConnection = false;
 };
 
-/// The end of a run or of the continuation of a stream.
+/// The end of a run or of a resumed stream.
 struct engine_run_end
 {
     engine_outcome outcome = engine_outcome::unknown;
@@ -54,17 +54,17 @@
     std::string reason;
 };
 
-/// What a run reports; called from the loop, never from inside the call. Nothing is called after
-/// the call was cancelled.
+/// Events of a run. They are called from the event loop, never from inside run() or resume(). No
+/// event follows a cancellation.
 struct engine_run_events
 {
     std::function<void(int inStatus, const std::string &inContentType)> onHead;
-    /// A server-sent event of a stream, or the whole body of an answer that is not streamed.
+    /// A server-sent event of a stream, or the complete body of a response that is not streamed.
     std::function<void(std::uint64_t inIndex, std::string_view inData)> onChunk;
     std::function<void(const engine_run_end &inEnd)> onEnd;
 };
 
-/// Result of a load, an unload or a cancellation.
+/// Result of a load or an unload.
 struct engine_command_result
 {
     engine_outcome outcome = engine_outcome::unknown;
@@ -79,7 +79,7 @@
     std::string reason;
 };
 
-/// An adapter in an engine's report.
+/// An adapter in an engine's state report.
 struct engine_adapter
 {
     std::string adapter;
@@ -95,7 +95,8 @@
     std::vector<engine_adapter> resident;
     std::vector<engine_adapter> loading;
     int queued = 0;
-    /// The report describes this moment or a later one: when it was asked for, minus its age.
+    /// Time of the request minus the report's age. The report describes the state at this time or
+    /// later.
     core::time_point describedAt;
     std::string reason;
 };
--- a/corneltally/endpoint/engine_protocol.h
+++ b/corneltally/endpoint/engine_protocol.h
@@ -9,8 +9,8 @@
 
 namespace corneltally::endpoint {
 
-/// The protocol of an engine as the owner of an endpoint uses it; engine_client speaks it by HTTP.
-/// Handlers are never called from inside a call.
+/// Calls to an engine that the owner of an endpoint uses. engine_client implements them over HTTP.
+/// Handlers are never called from inside these functions.
 template <typename Engine>
 concept engine_protocol
     = requires(Engine &ioEngine, engine_run inRun, engine_run_events inEvents, std::string inText,
--- a/corneltally/endpoint/event_stream_parser.h
+++ b/corneltally/endpoint/event_stream_parser.h
@@ -6,18 +6,19 @@
 
 namespace corneltally::endpoint {
 
-/// Splits a byte stream into server-sent events.
+/// Incremental parser that splits a byte stream into server-sent events.
 class event_stream_parser
 {
 public:
-    /// Longest event that is accepted.
+    /// Size limit of an event.
     static constexpr std::size_t sMaxEventBytes = 1024 * 1024;
 
-    /// Takes bytes and returns the events that they complete, each with its field names and without
-    /// the empty line at its end. The final "[DONE]" event is not returned, see isDone().
+    /// Parses bytes and returns the events that they complete, each with its field names but
+    /// without the terminating empty line. Comments and the final "[DONE]" event are not returned;
+    /// see isDone().
     std::vector<std::string> feed(std::string_view inData);
 
-    /// The stream was ended by the engine, not only by its connection.
+    /// Whether the engine sent the final event. The end of the connection doesn't count.
     bool isDone() const { return mDone; }
     bool isTooLong() const { return mPending.size() > sMaxEventBytes; }
 
--- a/corneltally/endpoint/service_client.cpp
+++ b/corneltally/endpoint/service_client.cpp
@@ -17,7 +17,7 @@
 
 http::call_request wireRequest(service_call inCall)
 {
-    // Headers are built from scratch: nothing that the caller sent as a header is passed on.
+    // Sends only these headers; the caller's headers are not forwarded.
     http::header_list headers{{"X-Request-Id", inCall.requestId}};
     if (!inCall.account.empty())
         headers.emplace_back("X-Account", std::move(inCall.account));
@@ -117,7 +117,7 @@
     const bool mismatched = !responseId.empty() && responseId != running.requestId;
     if (!mismatched && running.response.body.size() <= sMaxResponseBytes)
         return;
-    // Closes the connection, so that what follows on it is not taken for another answer.
+    // Closes the connection, so that later bytes are not mistaken for another response.
     mClient.cancel(running.wireCall);
     finish(inCall, http::call_outcome::interrupted);
 }
--- a/corneltally/endpoint/service_client.h
+++ b/corneltally/endpoint/service_client.h
@@ -12,7 +12,7 @@
 
 namespace corneltally::endpoint {
 
-/// A request to an application service. It holds no credentials.
+/// A request to an application service. It contains no credentials of the caller.
 struct service_call
 {
     http::address target;
@@ -22,17 +22,19 @@
     std::string body;
     std::string requestId;
     std::string account;
-    /// Names the order at the service; empty without an idempotency key.
+    /// Value of X-Order-Id, which identifies the order at the service; empty without an idempotency
+    /// key.
     std::string orderId;
     core::duration timeout{};
-    /// Uses a new connection, so that a failed connect proves that nothing was sent.
+    /// Opens a new connection, so that a connect failure proves that nothing was sent.
     bool freshConnection = true;
 };
 
 /// How a call to an application service ended.
 enum class service_outcome : std::uint8_t {
     answered,
-    /// Certain: nothing was sent, or the service said that it did not run the request.
+    /// The request certainly did not run: nothing was sent, or the service reported that it did not
+    /// run the request.
     not_run,
     /// The request may have run.
     unknown,
@@ -46,19 +48,19 @@
     std::string contentType;
     std::string body;
     int retryAfterSeconds = 0;
-    /// What went wrong, unless the service answered.
+    /// Why the call failed; empty if the service answered.
     std::string reason;
 };
 
-/// What an answer says about whether the request ran. The call's own id guards against an answer
-/// that belongs to another request.
+/// Determines from a response whether the request ran. A response with another X-Request-Id than
+/// inRequestId belongs to another request and proves nothing.
 service_result classifyResponse(const http::response &inResponse, std::string_view inRequestId);
 
-/// Calls application services.
+/// HTTP client of the application services.
 class service_client
 {
 public:
-    /// Longest answer that is accepted.
+    /// Size limit of a response body.
     static constexpr std::size_t sMaxResponseBytes = 16 * 1024 * 1024;
 
     using call_id = std::uint64_t;
@@ -69,7 +71,7 @@
     service_client(const service_client &) = delete;
     service_client &operator=(const service_client &) = delete;
 
-    /// The handler is called once, from the loop, unless the call is cancelled.
+    /// Calls the handler exactly once, from the event loop, unless the call is cancelled.
     call_id call(service_call inCall, handler inHandler);
     void cancel(call_id inCall);
 
--- a/corneltally/peer/connection.cpp
+++ b/corneltally/peer/connection.cpp
@@ -39,7 +39,7 @@
         if (stream == nullptr)
             return;
         bufferevent_free(std::exchange(stream, nullptr));
-        // The handler usually destroys the connection, and with it the function being called.
+        // Copies the handler, because it usually destroys the connection and thereby itself.
         const std::function<void(std::string_view)> handler = inSelf->events.onClosed;
         if (handler)
             handler(inReason);
@@ -86,7 +86,8 @@
     , mLastReceived(core::boot_clock::now())
 {
     mState->owner = this;
-    // Deferred callbacks keep a connect that fails at once from reporting inside this call.
+    // Callbacks are deferred so that an immediate connect failure isn't reported inside this
+    // constructor.
     mState->stream = bufferevent_socket_new(inLoop.base(), -1,
                                             BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
     bufferevent_setcb(mState->stream, &state::sRead, nullptr, &state::sEvent, mState.get());
--- a/corneltally/peer/connection.h
+++ b/corneltally/peer/connection.h
@@ -14,25 +14,27 @@
 
 namespace corneltally::peer {
 
-/// What a connection reports. Both may be called from the loop only, never from inside a call of
-/// the connection; the connection may be destroyed from inside either.
+/// Events of a connection. They are called from the event loop, never from inside a member function
+/// of the connection. A handler may destroy the connection.
 struct connection_events
 {
     std::function<void(std::string_view inBody)> onFrame;
-    /// The connection failed, ended or sent an invalid length. Nothing is reported after it.
+    /// The connection failed or ended, or the peer sent an invalid frame length. The last event of
+    /// a connection.
     std::function<void(std::string_view inReason)> onClosed;
 };
 
-/// A TCP connection that carries frames in both directions. Destruction closes it.
+/// TCP connection that carries frames in both directions. The destructor closes it.
 class connection
 {
 public:
-    /// Bytes that may wait to be sent. A peer that takes so little is treated as gone.
+    /// Limit on the bytes that wait to be sent. A peer that reads too slowly to stay below it is
+    /// treated as disconnected.
     static constexpr std::size_t sMaxBacklogBytes = 16 * 1024 * 1024;
 
-    /// Opens a connection; a failure is reported by onClosed.
+    /// Opens a connection; onClosed reports a failure.
     connection(kernel::event_loop &inLoop, const std::string &inHost, unsigned short inPort);
-    /// Takes over an accepted socket.
+    /// Takes ownership of an accepted socket.
     connection(kernel::event_loop &inLoop, int inSocket);
     ~connection();
     connection(const connection &) = delete;
@@ -40,7 +42,8 @@
 
     void setEvents(connection_events inEvents);
 
-    /// Queues a frame. Returns false, without queuing, if the backlog or the frame is too large.
+    /// Queues a frame. Returns false without queuing it if the connection is closed, or if the
+    /// frame or the backlog is too large.
     bool send(std::string_view inBody);
 
     /// When the last complete frame arrived, or when the connection was created.
--- a/corneltally/peer/frame.h
+++ b/corneltally/peer/frame.h
@@ -8,17 +8,16 @@
 
 namespace corneltally::peer {
 
-/// Longest body of a frame.
+/// Size limit of a frame's body.
 inline constexpr std::size_t cMaxFrameBytes = 1024 * 1024;
 
-/// Bytes of the length in front of each body, little-endian.
+/// Size of the little-endian length prefix of each body.
 inline constexpr std::size_t cFrameHeaderBytes = 4;
 
-/// The length prefix of a body.
+/// Encodes the length prefix of a body.
 std::string frameHeader(std::size_t inBodyBytes);
 
-/// Length of the body that follows a prefix of cFrameHeaderBytes; nothing if it is over the limit
-/// or zero.
+/// Decodes a length prefix of cFrameHeaderBytes; nothing if the length is zero or over the limit.
 std::optional<std::size_t> frameLength(std::string_view inHeader);
 
 } // namespace corneltally::peer
--- a/corneltally/peer/listener.h
+++ b/corneltally/peer/listener.h
@@ -9,7 +9,7 @@
 
 namespace corneltally::peer {
 
-/// Accepts connections of peers.
+/// Accepts connections from peers.
 class listener
 {
 public:
--- a/tests/unit/endpoint_engine_client_test.cpp
+++ b/tests/unit/endpoint_engine_client_test.cpp
@@ -1,5 +1,5 @@
-// Guards against answers of an engine that are taken for a proof that a run did not start, for the
-// answer of another run, or for complete although they are not.
+// Guards against misjudged responses of an engine: taken for proof that a run did not start,
+// delivered to another run, or taken for complete although they were truncated.
 
 #include "corneltally/endpoint/engine_client.h"
 #include "corneltally/endpoint/engine_json.h"
@@ -101,7 +101,7 @@
     CHECK(fixture.refusal(500, "internal") == engine_outcome::unknown);
     CHECK(fixture.heads == 0);
     CHECK(fixture.parts.empty());
-    // The request itself was wrong: the engine's answer is for the caller.
+    // The request itself is invalid, so the engine's response goes to the caller.
     CHECK(fixture.refusal(400, "invalid_request") == engine_outcome::completed);
     CHECK(fixture.parts.size() == 1);
     CHECK(fixture.refusal(409, "another conflict") == engine_outcome::completed);
@@ -142,7 +142,7 @@
     CHECK(fixture.run(stream({"data: 1\n\n"}, false)).outcome == engine_outcome::unknown);
 }
 
-TEST_CASE("the answer of another request is discarded")
+TEST_CASE("the response to another request is discarded")
 {
     client_fixture fixture;
     const auto mismatched = fixture.run(
@@ -155,14 +155,14 @@
     CHECK(fixture.heads == 0);
 }
 
-TEST_CASE("an engine that cannot be reached got nothing")
+TEST_CASE("a run for an unreachable engine is reported as not sent")
 {
     client_fixture fixture;
     fixture.server.stopListening();
     CHECK(fixture.run([](http::exchange &) {}).outcome == engine_outcome::not_sent);
 }
 
-TEST_CASE("a report describes at the latest the moment when it was asked for, minus its age")
+TEST_CASE("a report's time is the time of its request minus its age")
 {
     const core::time_point requestedAt(100s);
     const auto state = endpoint::parseState(
