--- a/corneltally/endpoint/engine_client.cpp
+++ b/corneltally/endpoint/engine_client.cpp
@@ -47,11 +47,11 @@
     case http::call_outcome::not_sent:
         return "the engine could not be reached";
     case http::call_outcome::interrupted:
-        return "the connection to the engine ended without a complete answer";
+        return "the connection to the engine ended without a complete response";
     case http::call_outcome::completed:
         break;
     }
-    std::string text("the engine answered ");
+    std::string text("the engine responded with status ");
     text.append(std::to_string(inResponse.status));
     if (!inErrorType.empty())
         text.append(" ").append(inErrorType);
@@ -229,13 +229,13 @@
     running_call &call = found->second;
     const std::string_view responseId = http::findHeader(call.headers, "X-Request-Id");
     if (!responseId.empty() && responseId != call.requestId) {
-        abortCall(inCall, "the engine sent the answer of another request");
+        abortCall(inCall, "the engine sent the response to another request");
         return;
     }
     if (!call.stream) {
         call.body.append(inData);
         if (call.body.size() > cMaxResponseBytes)
-            abortCall(inCall, "the engine's answer is too long");
+            abortCall(inCall, "the engine's response is too long");
         return;
     }
     for (const std::string &event : call.parser.feed(inData)) {
@@ -266,7 +266,7 @@
         const double tokens
             = completionTokens(call.body).value_or(static_cast<double>(call.nextIndex));
         call.events.onEnd({complete ? engine_outcome::completed : engine_outcome::unknown, tokens,
-                           complete ? "" : "the stream ended early"});
+                           complete ? "" : "the stream ended before its final event"});
         return;
     }
     const std::string type = call.status == 200 ? std::string() : errorType(call.body);
--- a/corneltally/endpoint/service_client.cpp
+++ b/corneltally/endpoint/service_client.cpp
@@ -44,11 +44,11 @@
         return {.outcome = service_outcome::not_run, .reason = "the service could not be reached"};
     if (inResponse.outcome == http::call_outcome::interrupted)
         return {.outcome = service_outcome::unknown,
-                .reason = "the connection to the service ended without a complete answer"};
+                .reason = "the connection to the service ended without a complete response"};
     const std::string_view responseId = http::findHeader(inResponse.headers, "X-Request-Id");
     if (!responseId.empty() && responseId != inRequestId)
         return {.outcome = service_outcome::unknown,
-                .reason = "the service sent the answer of another request"};
+                .reason = "the service sent the response to another request"};
     if (inResponse.status == 503 && http::findHeader(inResponse.headers, "X-Not-Run") == "true")
         return {.outcome = service_outcome::not_run,
                 .status = inResponse.status,
--- a/corneltally/peer/connection.cpp
+++ b/corneltally/peer/connection.cpp
@@ -55,7 +55,7 @@
             const std::optional<std::size_t> length
                 = frameLength(std::string_view(header.data(), header.size()));
             if (!length) {
-                self->close(self, "a frame has an invalid length");
+                self->close(self, "the peer sent a frame with an invalid length");
                 return;
             }
             if (evbuffer_get_length(input) < cFrameHeaderBytes + *length)
