--- a/corneltally/peer/connection.cpp
+++ b/corneltally/peer/connection.cpp
@@ -39,7 +39,7 @@
         if (stream == nullptr)
             return;
         bufferevent_free(std::exchange(stream, nullptr));
-        // The handler usually destroys the connection, and with it the function being called.
+        // Copies the handler, because it usually destroys the connection and thereby itself.
         const std::function<void(std::string_view)> handler = inSelf->events.onClosed;
         if (handler)
             handler(inReason);
@@ -55,7 +55,7 @@
             const std::optional<std::size_t> length
                 = frameLength(std::string_view(header.data(), header.size()));
             if (!length) {
-                self->close(self, "a frame has an invalid length");
+                self->close(self, "the peer sent a frame with an invalid length");
                 return;
             }
             if (evbuffer_get_length(input) < cFrameHeaderBytes + *length)
@@ -63,7 +63,7 @@
             evbuffer_drain(input, cFrameHeaderBytes);
             std::string body(*length, '\0');
             evbuffer_remove(input, body.data(), body.size());
-            self->owner->mLastProgress = core::boot_clock::now();
+            self->owner->mLastReceived = core::boot_clock::now();
             if (self->events.onFrame)
                 self->events.onFrame(body);
         }
@@ -83,10 +83,11 @@
 
 connection::connection(kernel::event_loop &inLoop, const std::string &inHost, unsigned short inPort)
     : mState(std::make_shared<state>())
-    , mLastProgress(core::boot_clock::now())
+    , mLastReceived(core::boot_clock::now())
 {
     mState->owner = this;
-    // Deferred callbacks keep a connect that fails at once from reporting inside this call.
+    // Callbacks are deferred so that an immediate connect failure isn't reported inside this
+    // constructor.
     mState->stream = bufferevent_socket_new(inLoop.base(), -1,
                                             BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
     bufferevent_setcb(mState->stream, &state::sRead, nullptr, &state::sEvent, mState.get());
@@ -101,7 +102,7 @@
 
 connection::connection(kernel::event_loop &inLoop, int inSocket)
     : mState(std::make_shared<state>())
-    , mLastProgress(core::boot_clock::now())
+    , mLastReceived(core::boot_clock::now())
 {
     mState->owner = this;
     disableDelay(inSocket);
