--- a/corneltally/forwarding/forwarded_request.cpp
+++ b/corneltally/forwarding/forwarded_request.cpp
@@ -199,7 +199,7 @@
     if (!mWork.adapter.empty())
         mContext.adapterUses.push_back(
             engines::digestOf(mChoice.endpoint, engines::adapterKey(mWork.model, mWork.adapter)));
-    platform::sending_terms terms{
+    platform::endpoint_request_terms terms{
         .timeLeft = std::chrono::duration_cast<milliseconds>(
             std::min(mCallerDeadline, mAnswerDeadline + mContext.settings.answerMargin) - now),
         .endpointId = mChoice.endpoint,
@@ -219,7 +219,7 @@
     mUpstream->start(head, mRequest.body,
                      {.accepts =
                           [this](const http1::response_head &inHead) {
-                              return platform::answersRequest(inHead, mTerms.requestId);
+                              return platform::belongsToRequest(inHead, mTerms.requestId);
                           },
                       .onHead = [this](const http1::response_head &inHead) { headArrived(inHead); },
                       .onBody = [this](std::string_view inData) { bodyArrived(inData); },
--- a/corneltally/forwarding/forwarded_request_answer.cpp
+++ b/corneltally/forwarding/forwarded_request_answer.cpp
@@ -208,7 +208,7 @@
     if (inRetryAfter)
         wait = std::chrono::duration_cast<milliseconds>(*inRetryAfter);
     finish(inStatus, "refused", inReason);
-    mCaller.respond(platform::encodeOwnAnswer(inStatus, mTerms.requestId, wait),
+    mCaller.respond(platform::encodeLocalAnswer(inStatus, mTerms.requestId, wait),
                     failureBody(inStatus, inReason, mRunState));
 }
 
@@ -227,7 +227,7 @@
     const int status = timeLeft() < cMinAttemptTime ? 504 : 502;
     mState = state::done;
     finish(status, "unknown", inReason);
-    mCaller.respond(platform::encodeOwnAnswer(status, mTerms.requestId, std::nullopt),
+    mCaller.respond(platform::encodeLocalAnswer(status, mTerms.requestId, std::nullopt),
                     failureBody(status, inReason, mRunState));
 }
 
--- a/standins/site_endpoint.cpp
+++ b/standins/site_endpoint.cpp
@@ -206,7 +206,7 @@
     started->loses = takeFault("lose");
     started->fails = takeFault("fail");
     started->cuts = takeFault("cut");
-    started->event = std::atoll(field(*inExchange, platform::cLastEventField).c_str());
+    started->event = std::atoll(field(*inExchange, platform::cLastEventIdField).c_str());
     const std::string account = field(*inExchange, platform::cTenantField);
     mHost.facts().write(
         "run",
--- a/tests/unit/platform_codec_test.cpp
+++ b/tests/unit/platform_codec_test.cpp
@@ -203,12 +203,12 @@
     CHECK(answer(421, {}).misdirected);
     CHECK(answer(200, {{"X-Corneltally-Server-Seal", "s"}}).sealed);
     CHECK_FALSE(answer(200, {{"X-Corneltally-Server-Seal", ""}}).sealed);
-    CHECK(platform::answersRequest({.fields = {{"X-Corneltally-Request-Id", "a"}}}, "a"));
-    CHECK_FALSE(platform::answersRequest({.fields = {{"X-Corneltally-Request-Id", "b"}}}, "a"));
+    CHECK(platform::belongsToRequest({.fields = {{"X-Corneltally-Request-Id", "a"}}}, "a"));
+    CHECK_FALSE(platform::belongsToRequest({.fields = {{"X-Corneltally-Request-Id", "b"}}}, "a"));
 }
 
 TEST_CASE("an own refusal says when to come back, in seconds with fractions")
 {
-    const auto head = platform::encodeOwnAnswer(503, "id1", 250ms);
+    const auto head = platform::encodeLocalAnswer(503, "id1", 250ms);
     CHECK(http1::findField(head.fields, "Retry-After") == "0.250");
 }
