--- a/tests/unit/platform_codec_test.cpp
+++ b/tests/unit/platform_codec_test.cpp
@@ -1,5 +1,5 @@
-// Guards against documents and header fields of the platform that are read wrongly, and against a
-// caller's key or instance-only fields that reach an endpoint.
+// Guards against documents and header fields of the platform that are decoded incorrectly, and
+// against a caller's key or instance-only fields that are forwarded to an endpoint.
 
 #include "corneltally/core/digest.h"
 #include "platform/document_codec.h"
@@ -68,7 +68,7 @@
     CHECK(decoded->routes[1].services.size() == 2);
     CHECK(decoded->routes[2].kind == routing::repetition::repeatable);
     CHECK(decoded->routes[2].open);
-    // What is not known may not be repeated.
+    // Requests of a route of unknown kind must not be repeated.
     CHECK(decoded->routes[3].kind == routing::repetition::once);
     CHECK(decoded->services[0].engine->adapterSlots == 8);
     CHECK_FALSE(decoded->services[1].engine.has_value());
@@ -78,14 +78,14 @@
     CHECK(decoded->accounts[0].countsTokens);
 }
 
-TEST_CASE("a document of another shape is refused with a reason")
+TEST_CASE("a malformed configuration is refused with a reason")
 {
     CHECK_FALSE(platform::decodeConfiguration("[]"));
     CHECK_FALSE(platform::decodeConfiguration("{\"version\":1}"));
     CHECK_FALSE(platform::decodeConfiguration("{\"version\""));
 }
 
-TEST_CASE("an entry that is not complete names no endpoint")
+TEST_CASE("an incomplete endpoint entry is refused")
 {
     const std::string good
         = R"({"service":"lm","address":"10.0.0.9:8080","zone":"z","capacity":64,"state":"ready",)"
@@ -110,7 +110,7 @@
     CHECK_FALSE(platform::decodeEndpoint("i-1", "\xff\xfe"));
 }
 
-TEST_CASE("named versions are told apart from other records")
+TEST_CASE("records that set an adapter version are distinguished from other records")
 {
     const auto named = platform::decodeNamedVersion("version/m.a3",
                                                     R"({"model":"m","adapter":"a3","version":9})");
@@ -120,7 +120,7 @@
     CHECK_FALSE(platform::decodeNamedVersion("version/x", "7"));
 }
 
-TEST_CASE("a report tells resident adapters from those on their way")
+TEST_CASE("a report distinguishes resident adapters from those being loaded")
 {
     const auto report = platform::decodeReport(
         {.status = 200,
@@ -135,7 +135,7 @@
     CHECK_FALSE(platform::decodeReport({.status = 503, .body = "{}"}));
 }
 
-TEST_CASE("an order names engine, holder and the expected number of orders")
+TEST_CASE("an order contains the engine, the holder and the expected number of orders")
 {
     const auto request = platform::orderRequest({"10.0.0.9", 80}, "i-1",
                                                 {.model = "m",
@@ -158,7 +158,7 @@
     CHECK(outcome(0, false) == engines::order_outcome::refused);
 }
 
-TEST_CASE("a request's terms are read from its fields")
+TEST_CASE("the terms of a request are decoded from its header fields")
 {
     const auto terms = platform::decodeRequest(callerHead());
     CHECK(terms.requestId == "id1");
@@ -193,7 +193,7 @@
     CHECK_FALSE(http1::findField(anonymous.fields, "X-Corneltally-Tenant"));
 }
 
-TEST_CASE("an answer's statement is read from status and fields")
+TEST_CASE("the terms of an answer are decoded from its status and header fields")
 {
     const auto answer = [](int inStatus, http1::header_fields inFields) {
         return platform::decodeAnswer({.status = inStatus, .fields = std::move(inFields)});
@@ -207,7 +207,7 @@
     CHECK_FALSE(platform::belongsToRequest({.fields = {{"X-Corneltally-Request-Id", "b"}}}, "a"));
 }
 
-TEST_CASE("an own refusal says when to come back, in seconds with fractions")
+TEST_CASE("Retry-After of a locally generated answer is in fractional seconds")
 {
     const auto head = platform::encodeLocalAnswer(503, "id1", 250ms);
     CHECK(http1::findField(head.fields, "Retry-After") == "0.250");
