--- a/apps/check_command.cpp
+++ b/apps/check_command.cpp
@@ -58,8 +58,8 @@
 }
 
 /// Contradictions between a process and the tree that it will run with.
-void checkTogether(const std::string &inFile, const process_settings &inSettings,
-                   const settings_tree &inTree, std::vector<problem> &ioProblems)
+void checkConsistency(const std::string &inFile, const process_settings &inSettings,
+                      const settings_tree &inTree, std::vector<problem> &ioProblems)
 {
     const std::string path = "/instances/" + inSettings.instanceName;
     if (!inTree.contains(path)) {
@@ -146,16 +146,17 @@
     if (line.has("tree"))
         tree = checkTreeFile(line.value("tree"), problems);
     if (process && tree)
-        checkTogether(line.value("settings"), *process, tree->tree, problems);
+        checkConsistency(line.value("settings"), *process, tree->tree, problems);
     printProblems(problems, inOutput.errors);
     if (!problems.empty())
         return cExitUsage;
-    const std::vector<std::string> &asked = line.values("explain");
-    for (std::size_t i = 0; i + 1 < asked.size(); i += 2) {
-        if (const int code = explain(*tree, asked[i], asked[i + 1], inOutput); code != cExitDone)
+    const std::vector<std::string> &explainArguments = line.values("explain");
+    for (std::size_t i = 0; i + 1 < explainArguments.size(); i += 2) {
+        if (const int code = explain(*tree, explainArguments[i], explainArguments[i + 1], inOutput);
+            code != cExitDone)
             return code;
     }
-    if (asked.empty())
+    if (explainArguments.empty())
         inOutput.text << "no problems found\n";
     return cExitDone;
 }
--- a/apps/command_line.cpp
+++ b/apps/command_line.cpp
@@ -13,11 +13,11 @@
     , mSummary(std::move(inSummary))
 { }
 
-void command_line::add(std::string inName, std::string inWords, std::string inDescription,
-                       std::size_t inWordCount)
+void command_line::add(std::string inName, std::string inValueName, std::string inDescription,
+                       std::size_t inValueCount)
 {
     mOptions.push_back(
-        {std::move(inName), std::move(inWords), std::move(inDescription), inWordCount});
+        {std::move(inName), std::move(inValueName), std::move(inDescription), inValueCount});
 }
 
 bool command_line::parse(const std::vector<std::string> &inArguments, std::ostream &outText,
@@ -26,13 +26,13 @@
     options::options_description description("Options");
     description.add_options()("help", "show this text and end");
     for (const option &entry : mOptions) {
-        auto *words = options::value<std::vector<std::string>>()->value_name(entry.words);
-        words->composing();
-        if (entry.wordCount > 1)
-            words->multitoken();
-        else if (entry.wordCount == 0)
-            words->zero_tokens();
-        description.add_options()(entry.name.c_str(), words, entry.description.c_str());
+        auto *semantic = options::value<std::vector<std::string>>()->value_name(entry.valueName);
+        semantic->composing();
+        if (entry.valueCount > 1)
+            semantic->multitoken();
+        else if (entry.valueCount == 0)
+            semantic->zero_tokens();
+        description.add_options()(entry.name.c_str(), semantic, entry.description.c_str());
     }
     try {
         const auto style = options::command_line_style::unix_style
@@ -60,8 +60,8 @@
         return false;
     }
     for (const option &entry : mOptions) {
-        if (entry.wordCount > 0 && values(entry.name).size() % entry.wordCount != 0) {
-            mExitCode = fail("--" + entry.name + " needs " + entry.words, outErrors);
+        if (entry.valueCount > 0 && values(entry.name).size() % entry.valueCount != 0) {
+            mExitCode = fail("--" + entry.name + " needs " + entry.valueName, outErrors);
             return false;
         }
     }
@@ -77,8 +77,8 @@
 
 std::string command_line::value(const std::string &inName, std::string_view inDefault) const
 {
-    const std::vector<std::string> &words = values(inName);
-    return words.empty() ? std::string(inDefault) : words.back();
+    const std::vector<std::string> &found = values(inName);
+    return found.empty() ? std::string(inDefault) : found.back();
 }
 
 int command_line::fail(std::string_view inMessage, std::ostream &outErrors) const
--- a/apps/command_line.h
+++ b/apps/command_line.h
@@ -21,8 +21,8 @@
     command_line(std::string inCommand, std::string inSummary);
 
     /// Adds an option that takes the given number of words each time that it appears.
-    void add(std::string inName, std::string inWords, std::string inDescription,
-             std::size_t inWordCount = 1);
+    void add(std::string inName, std::string inValueName, std::string inDescription,
+             std::size_t inValueCount = 1);
 
     /// Parses the words after the subcommand. Returns false if the command must end with
     /// exitCode(): help was asked for, or the usage is wrong, which was reported with the remedy.
@@ -46,9 +46,9 @@
     struct option
     {
         std::string name;
-        std::string words;
+        std::string valueName;
         std::string description;
-        std::size_t wordCount = 1;
+        std::size_t valueCount = 1;
     };
 
     std::string mCommand;
--- a/apps/dump_command.cpp
+++ b/apps/dump_command.cpp
@@ -16,7 +16,7 @@
     if (address.port == 0)
         return line.fail("--operators IP:PORT is required", inOutput.errors);
     const http::response answer = httpGet(address, "/dump");
-    if (const std::string failure = failureOf(answer); !failure.empty()) {
+    if (const std::string failure = describeFailure(answer); !failure.empty()) {
         inOutput.errors << address.toString() << ": " << failure << '\n';
         return cExitFailed;
     }
--- a/apps/forward_command.cpp
+++ b/apps/forward_command.cpp
@@ -36,8 +36,8 @@
                  + platform::cSettingsVariable + " names");
     if (!line.parse(inArguments, inOutput.text, inOutput.errors))
         return line.exitCode();
-    const char *named = std::getenv(platform::cSettingsVariable);
-    const std::string path = line.value("settings", named != nullptr ? named : "");
+    const char *variable = std::getenv(platform::cSettingsVariable);
+    const std::string path = line.value("settings", variable != nullptr ? variable : "");
     if (path.empty())
         return line.fail("--settings FILE is required", inOutput.errors);
     const auto settings = readSettings(path, inOutput.errors);
--- a/apps/http_get.cpp
+++ b/apps/http_get.cpp
@@ -18,7 +18,7 @@
     return answer;
 }
 
-std::string failureOf(const http::response &inResponse)
+std::string describeFailure(const http::response &inResponse)
 {
     if (inResponse.outcome == http::call_outcome::not_sent)
         return "no connection; check the operator address and that the instance runs";
--- a/apps/http_get.h
+++ b/apps/http_get.h
@@ -10,6 +10,6 @@
 http::response httpGet(const http::address &inAddress, const std::string &inPath);
 
 /// Why an answer is of no use; empty if its status is 200.
-std::string failureOf(const http::response &inResponse);
+std::string describeFailure(const http::response &inResponse);
 
 } // namespace corneltally::apps
--- a/apps/publish_command.cpp
+++ b/apps/publish_command.cpp
@@ -21,10 +21,10 @@
 constexpr long long cMaxTimeoutSeconds = 3'600;
 
 /// Calls of the publisher, each waited for.
-class publishing
+class publish_session
 {
 public:
-    publishing(const http::address &inPlatform, core::duration inTimeLimit)
+    publish_session(const http::address &inPlatform, core::duration inTimeLimit)
         : mLog(mLoop, inPlatform)
         , mPublisher(mLoop, mLog, inTimeLimit)
     { }
@@ -51,7 +51,10 @@
         return result;
     }
 
-    bool isOnLog(const std::string &inId) const { return mPublisher.findVerdict(inId).has_value(); }
+    bool isPublished(const std::string &inId) const
+    {
+        return mPublisher.findVerdict(inId).has_value();
+    }
 
     const settings::settings_tree &tree() const { return mPublisher.replica().tree(); }
 
@@ -77,7 +80,7 @@
 }
 
 /// Returns what is wrong with the combination of options; empty if nothing is.
-std::string usageMistake(const command_line &inLine)
+std::string findUsageError(const command_line &inLine)
 {
     if (http::parseAddress(inLine.value("platform")).port == 0)
         return "--platform IP:PORT is required";
@@ -126,7 +129,7 @@
     return cExitFailed;
 }
 
-bool complete(change &ioChange, const command_line &inLine, command_output inOutput)
+bool completeChange(change &ioChange, const command_line &inLine, command_output inOutput)
 {
     if (inLine.has("author") || ioChange.author.empty())
         ioChange.author = inLine.value("author", "operator");
@@ -143,19 +146,19 @@
     return true;
 }
 
-int publishOne(publishing &ioPublishing, change &ioChange, command_output inOutput)
+int publishChange(publish_session &ioSession, change &ioChange, command_output inOutput)
 {
     // A change that is on the log already is only looked up, not checked against the newer tree.
-    if (!ioPublishing.isOnLog(ioChange.id)) {
-        settings::completeBase(ioChange, ioPublishing.tree());
-        const auto next = ioPublishing.tree().apply(ioChange, ioPublishing.tree().version() + 1);
+    if (!ioSession.isPublished(ioChange.id)) {
+        settings::completeBase(ioChange, ioSession.tree());
+        const auto next = ioSession.tree().apply(ioChange, ioSession.tree().version() + 1);
         if (!next) {
             inOutput.errors << "not published: " << next.reason().message << "; "
                             << next.reason().remedy << '\n';
             return next.reason().kind == core::error_kind::conflict ? cExitFailed : cExitUsage;
         }
     }
-    return report(ioChange, ioPublishing.publish(ioChange), inOutput);
+    return report(ioChange, ioSession.publish(ioChange), inOutput);
 }
 
 } // namespace
@@ -168,8 +171,8 @@
     addOptions(line);
     if (!line.parse(inArguments, inOutput.text, inOutput.errors))
         return line.exitCode();
-    if (const std::string mistake = usageMistake(line); !mistake.empty())
-        return line.fail(mistake, inOutput.errors);
+    if (const std::string usageError = findUsageError(line); !usageError.empty())
+        return line.fail(usageError, inOutput.errors);
     const auto limit = timeLimit(line);
     if (!limit)
         return line.fail("--timeout needs whole seconds from 1 to 3600", inOutput.errors);
@@ -179,7 +182,7 @@
     printProblems(problems, inOutput.errors);
     if (!problems.empty())
         return cExitUsage;
-    publishing session(http::parseAddress(line.value("platform")), *limit);
+    publish_session session(http::parseAddress(line.value("platform")), *limit);
     if (const auto reason = session.load()) {
         inOutput.errors << "not published: " << reason->message << "; " << reason->remedy << '\n';
         return cExitFailed;
@@ -190,9 +193,9 @@
         return cExitFailed;
     }
     for (change &entry : changes) {
-        if (!complete(entry, line, inOutput))
+        if (!completeChange(entry, line, inOutput))
             return cExitFailed;
-        if (const int code = publishOne(session, entry, inOutput); code != cExitDone)
+        if (const int code = publishChange(session, entry, inOutput); code != cExitDone)
             return code;
     }
     return cExitDone;
--- a/apps/status_command.cpp
+++ b/apps/status_command.cpp
@@ -16,7 +16,7 @@
 std::optional<std::uint64_t> printStatus(const std::string &inAddress, command_output inOutput)
 {
     const http::response answer = httpGet(http::parseAddress(inAddress), "/version");
-    if (const std::string failure = failureOf(answer); !failure.empty()) {
+    if (const std::string failure = describeFailure(answer); !failure.empty()) {
         inOutput.errors << inAddress << ": " << failure << '\n';
         return std::nullopt;
     }
