--- a/apps/check_command.cpp
+++ b/apps/check_command.cpp
@@ -57,14 +57,14 @@
     return checked_tree{inPath, *text, *result};
 }
 
-/// Contradictions between a process and the tree that it will run with.
+/// Adds a problem for each contradiction between process settings and the settings tree.
 void checkConsistency(const std::string &inFile, const process_settings &inSettings,
                       const settings_tree &inTree, std::vector<problem> &ioProblems)
 {
     const std::string path = "/instances/" + inSettings.instanceName;
     if (!inTree.contains(path)) {
         ioProblems.push_back({inFile, 0, "instance.name", path + " is not in the tree",
-                              "add the instance to the tree or correct the name"});
+                              "add the instance to the tree or correct its name"});
     } else if (const auto domain = inTree.find(path, "failure_domain");
                domain && domain->value != settings::setting_value(inSettings.failureDomain)) {
         ioProblems.push_back({inFile, 0, "instance.failure_domain",
@@ -81,8 +81,8 @@
     for (const auto &[name, address] : inSettings.peerAddresses) {
         if (!inTree.contains("/instances/" + name))
             ioProblems.push_back({inFile, 0, "peer_addresses." + name,
-                                  "there is no such instance in the tree",
-                                  "remove it or correct the name"});
+                                  "the tree does not contain this instance",
+                                  "remove the entry or correct its name"});
     }
 }
 
@@ -115,7 +115,7 @@
     } else if (!definition->definition.defaultText.empty()) {
         inOutput.text << definition->definition.defaultText << ", the default\n";
     } else {
-        inOutput.text << "not set, without a default\n";
+        inOutput.text << "not set, no default\n";
     }
     return cExitDone;
 }
@@ -125,12 +125,12 @@
 int runCheck(const std::vector<std::string> &inArguments, command_output inOutput)
 {
     command_line line("check",
-                      "Checks files as a whole and reports every problem with file, line, "
-                      "key and remedy.");
+                      "Checks whole files and reports every problem with its file, line, key "
+                      "and remedy.");
     line.add("settings", "FILE", "process settings (TOML)");
     line.add("tree", "FILE", "settings tree (TOML)");
-    line.add("explain", "PATH KEY", "tell the value of a key at a node of --tree and its origin",
-             2);
+    line.add("explain", "PATH KEY",
+             "show the value of a key at a node of --tree and where it is set", 2);
     if (!line.parse(inArguments, inOutput.text, inOutput.errors))
         return line.exitCode();
     if (!line.has("settings") && !line.has("tree"))
--- a/apps/command_line.cpp
+++ b/apps/command_line.cpp
@@ -24,7 +24,7 @@
                          std::ostream &outErrors)
 {
     options::options_description description("Options");
-    description.add_options()("help", "show this text and end");
+    description.add_options()("help", "show this help and exit");
     for (const option &entry : mOptions) {
         auto *semantic = options::value<std::vector<std::string>>()->value_name(entry.valueName);
         semantic->composing();
--- a/apps/commands.h
+++ b/apps/commands.h
@@ -6,14 +6,14 @@
 
 namespace corneltally::apps {
 
-/// Output of a subcommand.
+/// Output streams of a subcommand.
 struct command_output
 {
     std::ostream &text;
     std::ostream &errors;
 };
 
-/// Runs the program with the given words after its name and returns its exit code.
+/// Runs the program with the arguments after its name and returns its exit code.
 int runProgram(const std::vector<std::string> &inArguments, command_output inOutput);
 
 /// The subcommands; each returns its exit code.
--- a/apps/entry_command.cpp
+++ b/apps/entry_command.cpp
@@ -10,7 +10,7 @@
 {
     command_line line("entry", "Runs an entry instance until it is drained by SIGTERM.");
     line.add("settings", "FILE", "process settings (TOML)");
-    line.add("allow-test-settings", "", "accept settings that switch a guard off", 0);
+    line.add("allow-test-settings", "", "accept settings that disable a safety check", 0);
     if (!line.parse(inArguments, inOutput.text, inOutput.errors))
         return line.exitCode();
     if (!line.has("settings"))
@@ -20,7 +20,7 @@
     if (const auto text = readFile(path, problems)) {
         const auto settings = settings::process_settings::sFromToml(*text, path, &problems);
         if (settings && !settings->brokenGuard.empty() && !line.has("allow-test-settings"))
-            return line.fail("the settings file switches a guard off; remove [test]",
+            return line.fail("the settings file disables a safety check; remove [test]",
                              inOutput.errors);
         if (settings)
             return entry::runEntry(*settings);
--- a/apps/files.h
+++ b/apps/files.h
@@ -9,11 +9,11 @@
 
 namespace corneltally::apps {
 
-/// Content of a file; a problem is added if it cannot be read.
+/// Reads a file. Adds a problem and returns nothing if it cannot be read.
 std::optional<std::string> readFile(const std::string &inPath,
                                     std::vector<settings::problem> &ioProblems);
 
-/// Prints problems, a line for each.
+/// Prints one line for each problem.
 void printProblems(const std::vector<settings::problem> &inProblems, std::ostream &outErrors);
 
 } // namespace corneltally::apps
--- a/apps/forward_command.cpp
+++ b/apps/forward_command.cpp
@@ -32,8 +32,8 @@
 {
     command_line line("forward", "Runs a forwarding instance until it is drained by SIGTERM.");
     line.add("settings", "FILE",
-             std::string("instance settings (TOML); else the file that ")
-                 + platform::cSettingsVariable + " names");
+             std::string("instance settings (TOML); default: the file in ")
+                 + platform::cSettingsVariable + " (environment variable)");
     if (!line.parse(inArguments, inOutput.text, inOutput.errors))
         return line.exitCode();
     const char *variable = std::getenv(platform::cSettingsVariable);
--- a/apps/keygen_command.cpp
+++ b/apps/keygen_command.cpp
@@ -11,13 +11,14 @@
 {
     constexpr std::size_t cKeyBytes = 32;
     command_line line("keygen",
-                      "Makes a caller's key. The key goes to the caller, the digest into "
+                      "Generates a caller's key. Give the key to the caller and set the digest at "
                       "/accounts/<name>/keys/<id>. The key is not stored anywhere.");
     if (!line.parse(inArguments, inOutput.text, inOutput.errors))
         return line.exitCode();
     const auto digits = randomHex(cKeyBytes);
     if (!digits) {
-        inOutput.errors << "corneltally keygen: the system has no random numbers; try again\n";
+        inOutput.errors
+            << "corneltally keygen: the system's random number generator failed; try again\n";
         return cExitFailed;
     }
     const std::string key = "ct-" + *digits;
--- a/apps/program.cpp
+++ b/apps/program.cpp
@@ -19,11 +19,11 @@
 constexpr std::array<subcommand, 7> cCommands{{
     {"entry", "run an entry instance", &runEntryCommand},
     {"forward", "run a forwarding instance", &runForwardCommand},
-    {"check", "check a settings file and a tree file", &runCheck},
-    {"publish", "publish a change of the settings tree", &runPublish},
-    {"status", "show the settings version in force at instances", &runStatus},
+    {"check", "check a settings file and a settings tree", &runCheck},
+    {"publish", "publish a change to the settings tree", &runPublish},
+    {"status", "show the settings version in force at each instance", &runStatus},
     {"dump", "print the state of an instance", &runDump},
-    {"keygen", "make a caller's key and its digest", &runKeygen},
+    {"keygen", "generate a caller's key and its digest", &runKeygen},
 }};
 
 void printHelp(std::ostream &outText)
@@ -32,8 +32,9 @@
     for (const subcommand &entry : cCommands)
         outText << "  " << entry.name << std::string(10 - entry.name.size(), ' ') << entry.summary
                 << '\n';
-    outText << "\ncorneltally <command> --help describes a command, corneltally --version prints "
-               "the version.\nExit codes: 0 done, 1 failed, 2 wrong usage or invalid settings.\n";
+    outText
+        << "\ncorneltally <command> --help describes a command, corneltally --version prints "
+           "the version.\nExit codes: 0 success, 1 failure, 2 usage error or invalid settings.\n";
 }
 
 } // namespace
--- a/apps/publish_changes.h
+++ b/apps/publish_changes.h
@@ -12,8 +12,8 @@
 
 class command_line;
 
-/// Builds the changes that the options of the publish command ask for. Problems are added if they
-/// are not well-formed.
+/// Builds the changes that the options of the publish command specify. Adds a problem for each
+/// malformed option or file.
 std::vector<settings::change> readChanges(const command_line &inLine,
                                           std::vector<settings::problem> &ioProblems);
 
--- a/apps/publish_command.cpp
+++ b/apps/publish_command.cpp
@@ -20,7 +20,7 @@
 
 constexpr long long cMaxTimeoutSeconds = 3'600;
 
-/// Calls of the publisher, each waited for.
+/// Runs the asynchronous calls of the settings publisher to completion, one at a time.
 class publish_session
 {
 public:
@@ -68,18 +68,18 @@
 {
     ioLine.add("platform", "IP:PORT", "address of the platform");
     ioLine.add("change", "FILE", "publish a change (TOML or JSON)");
-    ioLine.add("tree", "FILE", "publish a whole first tree (TOML)");
+    ioLine.add("tree", "FILE", "publish a whole tree as the first one (TOML)");
     ioLine.add("set", "PATH KEY=VALUE", "set one value (repeatable, one change)", 2);
     ioLine.add("unset", "PATH KEY", "remove one value, so that it is inherited again (repeatable)",
                2);
-    ioLine.add("remove", "PATH", "remove a node with all below it (repeatable)");
-    ioLine.add("author", "NAME", "who makes the change (default: operator)");
+    ioLine.add("remove", "PATH", "remove a node and all nodes below it (repeatable)");
+    ioLine.add("author", "NAME", "author of the change (default: operator)");
     ioLine.add("id", "ID",
                "id of the change, to resolve an unknown outcome by publishing it again");
-    ioLine.add("timeout", "SECONDS", "how long to try (default: 30)");
+    ioLine.add("timeout", "SECONDS", "time limit for publishing (default: 30)");
 }
 
-/// Returns what is wrong with the combination of options; empty if nothing is.
+/// Returns an error message if the combination of options is invalid, or an empty string.
 std::string findUsageError(const command_line &inLine)
 {
     if (http::parseAddress(inLine.value("platform")).port == 0)
@@ -139,7 +139,8 @@
         return true;
     const auto digits = randomHex(12);
     if (!digits) {
-        inOutput.errors << "corneltally publish: the system has no random numbers; use --id\n";
+        inOutput.errors
+            << "corneltally publish: the system's random number generator failed; use --id\n";
         return false;
     }
     ioChange.id = "change-" + *digits;
@@ -148,7 +149,8 @@
 
 int publishChange(publish_session &ioSession, change &ioChange, command_output inOutput)
 {
-    // A change that is on the log already is only looked up, not checked against the newer tree.
+    // A change that is already on the log is only looked up. It may not apply to the current tree,
+    // which is newer than the one it was made for.
     if (!ioSession.isPublished(ioChange.id)) {
         settings::completeBase(ioChange, ioSession.tree());
         const auto next = ioSession.tree().apply(ioChange, ioSession.tree().version() + 1);
@@ -166,7 +168,7 @@
 int runPublish(const std::vector<std::string> &inArguments, command_output inOutput)
 {
     command_line line("publish",
-                      "Publishes a change of the settings tree and reports whether it was "
+                      "Publishes a change to the settings tree and reports whether it was "
                       "accepted.");
     addOptions(line);
     if (!line.parse(inArguments, inOutput.text, inOutput.errors))
@@ -188,8 +190,8 @@
         return cExitFailed;
     }
     if (line.has("tree") && session.tree().version() > 0) {
-        inOutput.errors << "not published: there is a tree of version " << session.tree().version()
-                        << " already; use --change, --set or --remove\n";
+        inOutput.errors << "not published: there is already a tree of version "
+                        << session.tree().version() << "; use --change, --set or --remove\n";
         return cExitFailed;
     }
     for (change &entry : changes) {
--- a/apps/random_hex.h
+++ b/apps/random_hex.h
@@ -6,7 +6,8 @@
 
 namespace corneltally::apps {
 
-/// Random bytes of the system as hexadecimal digits; empty if the system has none.
+/// Cryptographically secure random bytes as hexadecimal digits; nothing if the system's random
+/// number generator fails.
 std::optional<std::string> randomHex(std::size_t inBytes);
 
 } // namespace corneltally::apps
--- a/apps/status_command.cpp
+++ b/apps/status_command.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-/// Prints the state of one instance. Returns its version, or an empty value if it has none.
+/// Prints the status of one instance. Returns its settings version, or nothing if it cannot be
+/// read.
 std::optional<std::uint64_t> printStatus(const std::string &inAddress, command_output inOutput)
 {
     const http::response answer = httpGet(http::parseAddress(inAddress), "/version");
@@ -60,8 +61,9 @@
             versions.insert(*version);
     }
     if (versions.size() > 1)
-        inOutput.errors << "the versions differ; wait 3 s and ask again, then check the log of the "
-                           "instance with the lowest version\n";
+        inOutput.errors
+            << "the versions differ; wait 3 s and run the command again, then check the log of the "
+               "instance with the lowest version\n";
     return isComplete && versions.size() == 1 ? cExitDone : cExitFailed;
 }
 
--- a/tests/unit/settings_commands_test.cpp
+++ b/tests/unit/settings_commands_test.cpp
@@ -244,7 +244,7 @@
     CHECK(result.code == 2);
     contains(result.errors, "instance.failure_domain: the tree has \"south\"");
     contains(result.errors, "peer_addresses.entry-2: the tree has no peer_address");
-    contains(result.errors, "peer_addresses.entry-9: there is no such instance");
+    contains(result.errors, "peer_addresses.entry-9: the tree does not contain this instance");
 }
 
 TEST_CASE("check explains where an effective value comes from")
@@ -292,7 +292,7 @@
         = runWith({"entry", "--settings",
                    folder.write("broken.toml", cSettings + "[test]\nbreak = \"claim\"\n")});
     CHECK(result.code == 2);
-    contains(result.errors, "the settings file switches a guard off");
+    contains(result.errors, "the settings file disables a safety check");
 }
 
 TEST_CASE("publish creates a tree, changes it and reports rejections")
