--- a/corneltally/core/json_log.cpp
+++ b/corneltally/core/json_log.cpp
@@ -60,30 +60,30 @@
 
 /// Writes a line as a whole or drops it. A line that was cut by a full pipe is ended by the next
 /// one.
-void writeWithoutWaiting(std::string_view inLine)
+void writeNonBlocking(std::string_view inLine)
 {
-    static bool sCut = false;
+    static bool sPartialLine = false;
     std::string line(inLine);
     if (sDroppedLines > 0) {
         line.insert(0,
                     R"({"event":"log_lines_dropped","instance":")" + jsonEscape(sInstance)
                         + R"(","lines":)" + std::to_string(sDroppedLines) + "}\n");
     }
-    if (sCut)
+    if (sPartialLine)
         line.insert(0, "\n");
     const ssize_t written = ::write(STDOUT_FILENO, line.data(), line.size());
     if (written <= 0) {
         ++sDroppedLines;
         return;
     }
-    sCut = static_cast<std::size_t>(written) < line.size();
-    sDroppedLines = sCut ? 1 : 0;
+    sPartialLine = static_cast<std::size_t>(written) < line.size();
+    sDroppedLines = sPartialLine ? 1 : 0;
 }
 
 void writeBytes(std::string_view inLine)
 {
     if (sOutput == log_output::standard_output)
-        writeWithoutWaiting(inLine);
+        writeNonBlocking(inLine);
     else
         std::fwrite(inLine.data(), 1, inLine.size(), stderr);
 }
--- a/corneltally/kernel/timer.cpp
+++ b/corneltally/kernel/timer.cpp
@@ -34,12 +34,12 @@
     static void sFire(evutil_socket_t, short, void *inState)
     {
         // The handler may destroy the timer; the copy keeps the state until the handler returns.
-        const std::shared_ptr<state> keep = static_cast<state *>(inState)->self;
-        if (keep->period.count() > 0) {
-            const timeval delay = toTimeval(keep->period);
-            event_add(keep->timerEvent, &delay);
+        const std::shared_ptr<state> keepAlive = static_cast<state *>(inState)->self;
+        if (keepAlive->period.count() > 0) {
+            const timeval delay = toTimeval(keepAlive->period);
+            event_add(keepAlive->timerEvent, &delay);
         }
-        keep->handler();
+        keepAlive->handler();
     }
 };
 
--- a/corneltally/platform/instance_list_client.cpp
+++ b/corneltally/platform/instance_list_client.cpp
@@ -12,7 +12,7 @@
 
 constexpr core::duration cTimeout = std::chrono::seconds(1);
 
-core::error unusable(std::string inMessage)
+core::error unavailable(std::string inMessage)
 {
     return {core::error_kind::unavailable, std::move(inMessage),
             "check that the platform serves its list of instances"};
@@ -24,12 +24,12 @@
 {
     const json list = json::parse(inText, nullptr, false);
     if (!list.is_object() || !list.contains("instances") || !list["instances"].is_array())
-        return unusable("the platform's list of instances is not valid");
+        return unavailable("the platform's list of instances is not valid");
     instance_list_client::name_set leaving;
     for (const json &entry : list["instances"]) {
-        const bool usable = entry.is_object() && entry.contains("name") && entry["name"].is_string()
-            && entry.contains("state") && entry["state"].is_string();
-        if (usable && entry["state"] == "leaving")
+        const bool isComplete = entry.is_object() && entry.contains("name")
+            && entry["name"].is_string() && entry.contains("state") && entry["state"].is_string();
+        if (isComplete && entry["state"] == "leaving")
             leaving.insert(entry["name"].get<std::string>());
     }
     return leaving;
@@ -48,7 +48,7 @@
                         && inResponse.status == 200)
                         handler(parseLeaving(inResponse.body));
                     else
-                        handler(unusable("the platform's list of instances cannot be read"));
+                        handler(unavailable("the platform's list of instances cannot be read"));
                 });
 }
 
--- a/corneltally/platform/log_client.cpp
+++ b/corneltally/platform/log_client.cpp
@@ -51,9 +51,9 @@
         }
     }
     // A status of 5xx does not say whether the record was written before the failure.
-    const bool isCertain = inResponse.outcome == http::call_outcome::not_sent
+    const bool isRefused = inResponse.outcome == http::call_outcome::not_sent
         || (inResponse.outcome == http::call_outcome::completed && inResponse.status / 100 == 4);
-    result.outcome = isCertain ? append_outcome::refused : append_outcome::unknown;
+    result.outcome = isRefused ? append_outcome::refused : append_outcome::unknown;
     result.reason = unavailable(describe(inResponse));
     return result;
 }
