--- a/corneltally/platform/instance_list_client.cpp
+++ b/corneltally/platform/instance_list_client.cpp
@@ -24,7 +24,7 @@
 {
     const json list = json::parse(inText, nullptr, false);
     if (!list.is_object() || !list.contains("instances") || !list["instances"].is_array())
-        return unavailable("the platform's list of instances is not valid");
+        return unavailable("the platform's list of instances is malformed");
     instance_list_client::name_set leaving;
     for (const json &entry : list["instances"]) {
         const bool isComplete = entry.is_object() && entry.contains("name")
--- a/corneltally/platform/instance_list_client.h
+++ b/corneltally/platform/instance_list_client.h
@@ -10,7 +10,7 @@
 
 namespace corneltally::platform {
 
-/// HTTP client of the platform's list of live and leaving processes, which lags.
+/// HTTP client of the platform's list of live and leaving processes. The list may be outdated.
 class instance_list_client
 {
 public:
@@ -19,7 +19,7 @@
 
     instance_list_client(kernel::event_loop &inLoop, http::address inPlatform);
 
-    /// Reads the names of all processes that the platform reports as leaving.
+    /// Reads the names of all processes that the platform lists as leaving.
     void readLeaving(handler inHandler);
 
 private:
@@ -27,7 +27,7 @@
     http::address mPlatform;
 };
 
-/// Names with the state "leaving" in the text of the list.
+/// Parses the list and returns the names of the processes with the state "leaving".
 core::result<instance_list_client::name_set> parseLeaving(const std::string &inText);
 
 } // namespace corneltally::platform
--- a/corneltally/platform/log_client.cpp
+++ b/corneltally/platform/log_client.cpp
@@ -10,8 +10,8 @@
 using namespace std::chrono_literals;
 
 constexpr core::duration cAppendTimeout = 5s;
-/// Time for the answer beyond the time that the log may wait: a silent connection is given up
-/// after it.
+/// Timeout of a read in addition to the time that the log may wait. An unresponsive connection is
+/// closed after it.
 constexpr core::duration cReadMargin = 2s;
 
 core::error unavailable(std::string inMessage)
@@ -50,7 +50,7 @@
             return result;
         }
     }
-    // A status of 5xx does not say whether the record was written before the failure.
+    // After a status of 5xx the record may have been written before the failure.
     const bool isRefused = inResponse.outcome == http::call_outcome::not_sent
         || (inResponse.outcome == http::call_outcome::completed && inResponse.status / 100 == 4);
     result.outcome = isRefused ? append_outcome::refused : append_outcome::unknown;
--- a/corneltally/platform/log_client.h
+++ b/corneltally/platform/log_client.h
@@ -8,7 +8,7 @@
 
 namespace corneltally::platform {
 
-/// HTTP client of the platform's log. It never repeats a call by itself.
+/// HTTP client of the platform's log. It never retries a call.
 class log_client
 {
 public:
@@ -20,16 +20,16 @@
     /// Appends one record to a stream.
     void append(const std::string &inStream, std::string inRecord, append_handler inHandler);
 
-    /// Reads records; waits at the log if there are none yet.
+    /// Reads records. If there are none yet, the log waits for a first one as the request allows.
     void read(const read_request &inRequest, read_handler inHandler);
 
-    /// Gives up all calls. An append may still take effect.
+    /// Cancels all calls. Appends that were sent may still take effect.
     void cancelAll();
 
 private:
-    /// Connections of one kind of call. Reads and appends have their own, so that after a silent
-    /// connection was closed the next call opens a new one and does not take up an idle connection
-    /// that may have gone silent as well.
+    /// Connections of one kind of call. Reads and appends do not share connections: after an
+    /// unresponsive connection was closed, the next call must open a new one instead of reusing an
+    /// idle connection that may be unresponsive as well.
     struct channel
     {
         explicit channel(kernel::event_loop &inLoop)
--- a/corneltally/platform/log_service.h
+++ b/corneltally/platform/log_service.h
@@ -11,37 +11,37 @@
 
 namespace corneltally::platform {
 
-/// A record of a log stream.
+/// A record of a stream of the log.
 struct log_record
 {
     std::uint64_t offset = 0;
-    /// Wall clock of the log in milliseconds.
+    /// Time of the log's wall clock when the record was appended, in milliseconds.
     std::int64_t timeMs = 0;
     std::string data;
 };
 
-/// How an append ended.
+/// Outcome of an append.
 enum class append_outcome : std::uint8_t {
     appended,
-    /// Certain: the record is not on the log.
+    /// The record is certainly not on the log.
     refused,
-    /// The answer was lost: the record may be on the log. It has to be looked up by its id before
-    /// it is sent again.
+    /// The answer was lost or unclear: the record may be on the log. Look it up by its id before
+    /// sending it again.
     unknown,
 };
 
 struct append_result
 {
     append_outcome outcome = append_outcome::unknown;
-    /// Valid if the record was appended.
+    /// Offset of the record; valid if it was appended.
     std::uint64_t offset = 0;
     core::error reason;
 };
 
-/// How a read ended.
+/// Outcome of a read.
 enum class read_outcome : std::uint8_t {
     records,
-    /// Records from the requested offset on are not kept any more; `first` is the oldest one.
+    /// The record at the requested offset is no longer retained; `first` is the oldest one.
     expired,
     failed,
 };
@@ -49,31 +49,32 @@
 struct read_result
 {
     read_outcome outcome = read_outcome::failed;
-    /// Oldest retained offset.
+    /// Offset of the oldest retained record.
     std::uint64_t first = 0;
     /// Offset that the next record of the log will get.
     std::uint64_t next = 0;
     std::vector<log_record> records;
-    /// When the read was sent: the log had no further records at that time at least.
+    /// Time at which the read was sent. The result is complete at least up to this time, unless the
+    /// read's limit cut it off.
     core::time_point sentAt;
     core::error reason;
 };
 
-/// What a read asks for.
+/// Parameters of a read.
 struct read_request
 {
     std::string stream;
     std::uint64_t from = 0;
     int limit = 200;
-    /// How long the log may wait for a first record.
+    /// Longest time that the log waits for a first record before it answers.
     std::chrono::milliseconds wait{0};
 };
 
 using append_handler = std::function<void(const append_result &)>;
 using read_handler = std::function<void(const read_result &)>;
 
-/// An append-only log as services use it. Handlers are called from the loop, never from inside the
-/// call, and not after cancelAll().
+/// Interface of an append-only log. Handlers are called from the event loop, never from inside
+/// append() or read(), and never after cancelAll().
 template <typename Log>
 concept log_service = requires(Log &ioLog, std::string inText, read_request inRequest,
                                append_handler inAppended, read_handler inRead)
--- a/tests/unit/platform_instance_list_test.cpp
+++ b/tests/unit/platform_instance_list_test.cpp
@@ -1,5 +1,5 @@
-// Guards against endpoints that stay in use although the platform reports them as leaving, and
-// against a list that cannot be read being taken as empty.
+// Guards against endpoints that stay in use although the platform lists them as leaving, and
+// against a malformed list being treated as empty.
 
 #include "corneltally/platform/instance_list_client.h"
 
@@ -15,7 +15,7 @@
     CHECK(*leaving == std::set<std::string, std::less<>>{"b"});
 }
 
-TEST_CASE("a list that is not valid is not an empty list")
+TEST_CASE("a malformed list is an error, not an empty list")
 {
     for (const char *text : {"", "[]", "{}", R"({"instances":3})"})
         CHECK_FALSE(parseLeaving(text).hasValue());
--- a/tests/unit/platform_log_client_test.cpp
+++ b/tests/unit/platform_log_client_test.cpp
@@ -1,5 +1,5 @@
-// Guards against an append that is reported as certain although it is not, and against reads that
-// never end or take a damaged answer for records.
+// Guards against appends that are reported as appended or refused although their outcome is
+// unknown, and against reads that never end or accept a malformed answer.
 
 #include "corneltally/http/exchange.h"
 #include "corneltally/http/server.h"
@@ -18,7 +18,7 @@
 
 namespace {
 
-/// A log client and a server that answers as told.
+/// A log client and a server with configurable answers.
 struct fixture
 {
     kernel::event_loop loop;
@@ -99,11 +99,11 @@
     CHECK(test.append().outcome == append_outcome::unknown);
     test.reply(200, "{\"offset\":-3}");
     CHECK(test.append().outcome == append_outcome::unknown);
-    // The client never repeats an append by itself.
+    // The client never retries an append.
     CHECK(test.seen.size() == 4);
 }
 
-TEST_CASE("an append is refused only if that is certain")
+TEST_CASE("an append is refused only if the record is certainly not on the log")
 {
     fixture test;
     test.reply(413, "{}");
@@ -145,7 +145,7 @@
     CHECK(test.seen[0]->query("wait_ms") == "250");
 }
 
-TEST_CASE("a read of expired records names the first one that is kept")
+TEST_CASE("a read of expired records returns the oldest retained offset")
 {
     fixture test;
     test.reply(410, "{\"first\":12}");
@@ -154,7 +154,7 @@
     CHECK(result.first == 12);
 }
 
-TEST_CASE("a damaged answer to a read is a failure without records")
+TEST_CASE("a malformed answer to a read is a failure without records")
 {
     fixture test;
     for (const std::string body :
@@ -173,7 +173,7 @@
     CHECK(test.read().outcome == read_outcome::failed);
 }
 
-TEST_CASE("a read on a connection that falls silent fails soon after its wait")
+TEST_CASE("a read on an unresponsive connection times out soon after its wait")
 {
     fixture test;
     const core::time_point before = core::boot_clock::now();
@@ -182,7 +182,7 @@
     CHECK(core::boot_clock::now() - before >= 2s);
 }
 
-TEST_CASE("calls that were given up are not reported")
+TEST_CASE("handlers of cancelled calls are not called")
 {
     fixture test;
     bool reported = false;
@@ -198,8 +198,8 @@
 
 TEST_CASE("reads and appends do not share connections")
 {
-    // Else a read that follows a silent one could take up an append's idle connection that has gone
-    // silent as well, and miss its time limit twice.
+    // Otherwise a read that follows a timed-out one could reuse an append's idle connection that is
+    // unresponsive as well, and time out a second time.
     fixture test;
     for (int round = 0; round < 3; ++round) {
         test.reply(200, "{\"first\":1,\"next\":7,\"records\":[]}");
