--- a/corneltally/core/boot_clock.h
+++ b/corneltally/core/boot_clock.h
@@ -5,8 +5,8 @@
 
 namespace corneltally::core {
 
-/// Clock that goes on counting while the machine is suspended, so that a lease that lapsed during a
-/// suspension is seen as lapsed.
+/// Monotonic clock that also counts while the machine is suspended, so that a lease that expired
+/// during a suspension is treated as expired.
 struct boot_clock
 {
     using duration = std::chrono::microseconds;
--- a/corneltally/core/error.h
+++ b/corneltally/core/error.h
@@ -6,7 +6,7 @@
 
 namespace corneltally::core {
 
-/// Kinds of failure that a caller or an operator can act on.
+/// Kinds of errors that a caller or an operator can act on.
 enum class error_kind {
     invalid_request,
     unauthorized,
@@ -24,10 +24,10 @@
 /// Name of an error kind as it appears in error bodies and log lines.
 std::string_view toString(error_kind inKind);
 
-/// HTTP status code that answers a caller for an error kind.
+/// HTTP status code of an answer to a caller for an error kind.
 int httpStatus(error_kind inKind);
 
-/// A failure: the message names what is wrong, the remedy what to do about it.
+/// An error: the message says what is wrong, the remedy how to correct it.
 struct error
 {
     error_kind kind = error_kind::internal;
--- a/corneltally/core/json_log.cpp
+++ b/corneltally/core/json_log.cpp
@@ -58,8 +58,8 @@
     }
 }
 
-/// Writes a line as a whole or drops it. A line that was cut by a full pipe is ended by the next
-/// one.
+/// Writes a line without blocking, or drops it if the pipe is full. If the pipe takes only a part
+/// of a line, the next write ends that line first.
 void writeNonBlocking(std::string_view inLine)
 {
     static bool sPartialLine = false;
@@ -102,7 +102,7 @@
     writeBytes(line);
 }
 
-/// Turns the lines of glog (also those of libraries) into JSON lines.
+/// Converts glog messages, including those of libraries, to JSON lines.
 class json_sink : public google::LogSink
 {
 public:
@@ -132,7 +132,7 @@
         fcntl(STDOUT_FILENO, F_SETFL, flags | O_NONBLOCK);
     }
     google::InitGoogleLogging(inProgram);
-    // The sink writes to standard error itself; glog's own text output would double each line.
+    // The sink writes every message itself; glog's own text output would duplicate each line.
     FLAGS_logtostderr = false;
     FLAGS_stderrthreshold = google::NUM_SEVERITIES;
     for (int severity = google::GLOG_INFO; severity < google::NUM_SEVERITIES; ++severity)
--- a/corneltally/core/json_log.h
+++ b/corneltally/core/json_log.h
@@ -9,10 +9,10 @@
 
 namespace corneltally::core {
 
-/// Value of a field of a log line.
+/// Value of a field in a log line.
 using log_value = std::variant<std::string_view, double, long long, bool>;
 
-/// A named field of a log line.
+/// A named field in a log line.
 struct log_field
 {
     log_field(std::string_view inName, std::string_view inValue)
@@ -48,22 +48,22 @@
 /// Severity of a log line.
 enum class log_level { info, warning, error };
 
-/// Where log lines go.
+/// Destination of log lines.
 enum class log_output {
     standard_error,
-    /// Without ever waiting: lines that a slow reader does not take are dropped and counted.
+    /// Non-blocking: lines that do not fit into the pipe of a slow reader are dropped and counted.
     standard_output,
 };
 
-/// Sends all glog output to the log as JSON lines; call once at start-up.
+/// Initializes the log and writes all glog output to it as JSON lines. Call once at start-up.
 void initializeLog(const char *inProgram, std::string_view inInstance,
                    log_output inOutput = log_output::standard_error);
 
-/// Writes one JSON line: time, level, instance, event and the fields, escaped.
+/// Writes one JSON line with time, level, instance, event and the given fields.
 void logEvent(log_level inLevel, std::string_view inEvent,
               std::initializer_list<log_field> inFields = {});
 
-/// Escapes a string for use between the quotes of a JSON string.
+/// Escapes text for use inside a JSON string, without adding the quotes.
 std::string jsonEscape(std::string_view inText);
 
 } // namespace corneltally::core
--- a/corneltally/core/metrics.cpp
+++ b/corneltally/core/metrics.cpp
@@ -37,10 +37,10 @@
     return inName.substr(0, inName.find('{'));
 }
 
-/// The estimate of the quantiles starts once its 2n + 3 markers have a value each.
+/// The P-square estimator has 2n + 3 markers for n quantiles and needs one sample for each.
 constexpr std::size_t cMinSamples = 2 * cQuantiles.size() + 3;
 
-/// Writes the type line of a metric once for all of its labels.
+/// Appends the type line of a metric, once for all of its label values.
 void appendType(std::string &ioText, std::string &ioLast, std::string_view inName,
                 std::string_view inType)
 {
--- a/corneltally/core/metrics.h
+++ b/corneltally/core/metrics.h
@@ -10,8 +10,8 @@
 
 namespace corneltally::core {
 
-/// Counters and latencies of the process, written in the text format of Prometheus. Names may
-/// carry labels, as in requests_total{outcome="completed"}.
+/// Counters, gauges and latencies of the process, written in the Prometheus text format. Names of
+/// counters and gauges may have labels, as in requests_total{outcome="completed"}.
 class metrics
 {
 public:
@@ -22,7 +22,7 @@
 
     void count(std::string_view inName, std::uint64_t inAmount = 1);
     void setGauge(std::string_view inName, double inValue);
-    /// Records a duration under a name without labels.
+    /// Adds a duration to a latency summary, whose name must not have labels.
     void observe(std::string_view inName, duration inValue);
 
     std::string toText() const;
--- a/corneltally/core/result.h
+++ b/corneltally/core/result.h
@@ -8,7 +8,7 @@
 
 namespace corneltally::core {
 
-/// An optional value that keeps the reason why it is absent.
+/// A value, or the error that explains its absence.
 template <typename T>
 class result
 {
@@ -36,7 +36,7 @@
     const T *operator->() const { return &value(); }
     const T &operator*() const & { return value(); }
 
-    /// The reason for the absence; meaningful only without a value.
+    /// The error; only valid if there is no value.
     const error &reason() const
     {
         assert(!mValue.has_value());
--- a/corneltally/kernel/event_loop.cpp
+++ b/corneltally/kernel/event_loop.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr timeval cTickPeriod{.tv_sec = 0, .tv_usec = 100'000};
-/// The tick has priority 0, so that a pause is noticed before the sockets that became ready during
-/// it are served; all other events have the library's default, the middle one.
+/// The tick has priority 0, so that a pause is detected before the sockets that became ready during
+/// it are served. All other events have libevent's default, the middle priority.
 constexpr int cPriorities = 2;
 
 } // namespace
@@ -35,7 +35,7 @@
 {
     assert(mBase != nullptr);
     event_base_priority_init(mBase, cPriorities);
-    // A peer that closes its connection must not end the process by SIGPIPE.
+    // A write to a connection that the peer has closed must not end the process by SIGPIPE.
     std::signal(SIGPIPE, SIG_IGN);
     mWakeEvent = evtimer_new(
         mBase,
@@ -47,7 +47,8 @@
 
 event_loop::~event_loop()
 {
-    // What posted tasks hold may own events of the base, and its destructors may post more tasks.
+    // Objects captured by posted tasks may own events of the base, so destroy them before the base.
+    // Their destructors may post more tasks.
     while (!mPosted.empty()) {
         std::vector<std::function<void()>> dropped;
         dropped.swap(mPosted);
@@ -72,8 +73,8 @@
 void event_loop::post(std::function<void()> inTask)
 {
     mPosted.push_back(std::move(inTask));
-    // event_active() from inside a callback would run the task in the same round, so that a chain
-    // of posts would keep sockets and timers from being served.
+    // event_active() from inside a callback would run the task in the same iteration of the loop,
+    // so that a chain of posts would starve sockets and timers.
     const timeval immediately{};
     if (evtimer_pending(mWakeEvent, nullptr) == 0)
         evtimer_add(mWakeEvent, &immediately);
@@ -115,7 +116,7 @@
     mLastTick = now;
     if (gap <= mPauseLimit)
         return;
-    // Tasks from before the pause run after the handler's own.
+    // Tasks posted before the pause run after those that the handler posts.
     std::vector<std::function<void()>> earlier;
     earlier.swap(mPosted);
     mPauseHandler(gap);
@@ -127,7 +128,7 @@
 
 void event_loop::runPosted()
 {
-    // Tasks posted by these tasks run in the next round, so that sockets are served in between.
+    // Tasks posted by these tasks run in the next iteration, so that sockets are served in between.
     std::vector<std::function<void()>> tasks;
     tasks.swap(mPosted);
     for (const std::function<void()> &task : tasks)
--- a/corneltally/kernel/event_loop.h
+++ b/corneltally/kernel/event_loop.h
@@ -11,7 +11,7 @@
 
 namespace corneltally::kernel {
 
-/// The one event loop of a process. All services run on it; only one thread may use it.
+/// The event loop of a process, on which all services run. Only one thread may use it.
 class event_loop
 {
 public:
@@ -26,15 +26,15 @@
     /// Ends run() after the current callback.
     void stop();
 
-    /// Queues a task to run from the loop, never inside the call.
+    /// Queues a task. It runs later from the loop, never inside this call.
     void post(std::function<void()> inTask);
 
-    /// Calls a handler with the process's signal number when the signal arrives.
+    /// Calls a handler from the loop when the process receives a signal.
     void onSignal(int inSignal, std::function<void()> inHandler);
 
-    /// Calls a handler when the process did not run for longer than a limit, for example because it
-    /// was stopped. Messages that the handler posts are handled before anything that waited during
-    /// the pause.
+    /// Calls a handler after the loop did not run for longer than a limit, for example because the
+    /// process was stopped. Messages that the handler posts are handled before all sockets, timers
+    /// and messages that became ready during the pause. May be called once.
     void watchPauses(core::duration inLimit, std::function<void(core::duration inGap)> inHandler);
 
     event_base *base() const { return mBase; }
--- a/corneltally/kernel/service.h
+++ b/corneltally/kernel/service.h
@@ -5,9 +5,9 @@
 
 namespace corneltally::kernel {
 
-/// A task with a name that owns its sockets and its state. Other services reach it by messages
-/// only. The one abstract base of the kernel, since the registry stores services of different
-/// types.
+/// A named component that owns its sockets and its state. Other services communicate with it only
+/// by messages. This is an abstract base class because the registry stores services of different
+/// types; the kernel has no other one.
 class service
 {
 public:
@@ -15,10 +15,10 @@
 
     virtual std::string_view name() const = 0;
 
-    /// Opens sockets and starts timers; all services are registered when it is called.
+    /// Opens sockets and starts timers. Called after all services are registered.
     virtual void start() = 0;
 
-    /// State of the service as a JSON object, for the dump.
+    /// State of the service as a JSON object, for dumpAll() of the registry.
     virtual std::string dump() const { return "{}"; }
 };
 
--- a/corneltally/kernel/service_registry.cpp
+++ b/corneltally/kernel/service_registry.cpp
@@ -13,7 +13,7 @@
 
 service_registry::~service_registry()
 {
-    // Later services may use earlier ones while they shut down.
+    // Destroy in reverse order: later services may use earlier ones in their destructors.
     while (!mServices.empty())
         mServices.pop_back();
 }
--- a/corneltally/kernel/service_registry.h
+++ b/corneltally/kernel/service_registry.h
@@ -16,7 +16,8 @@
 
 class service;
 
-/// Services find each other here by name and exchange typed messages through the event loop.
+/// Owns the services of a process and delivers typed messages to them by name, through the event
+/// loop.
 class service_registry
 {
 public:
@@ -37,7 +38,8 @@
     /// Starts all services in the order in which they were added.
     void startAll();
 
-    /// Declares what a named service does with messages of type T. One handler per name and type.
+    /// Sets the handler of a named service for messages of type T. There is one handler per name
+    /// and type; a later one replaces it.
     template <typename T>
     void handle(std::string_view inService, std::function<void(const T &)> inHandler)
     {
@@ -71,7 +73,7 @@
         }
     }
 
-    /// Dump of all services as one JSON object, a member per service.
+    /// State of all services as one JSON object with a member per service.
     std::string dumpAll() const;
 
 private:
--- a/corneltally/kernel/timer.cpp
+++ b/corneltally/kernel/timer.cpp
@@ -33,7 +33,7 @@
 
     static void sFire(evutil_socket_t, short, void *inState)
     {
-        // The handler may destroy the timer; the copy keeps the state until the handler returns.
+        // The handler may destroy the timer; this copy keeps the state alive until it returns.
         const std::shared_ptr<state> keepAlive = static_cast<state *>(inState)->self;
         if (keepAlive->period.count() > 0) {
             const timeval delay = toTimeval(keepAlive->period);
--- a/corneltally/kernel/timer.h
+++ b/corneltally/kernel/timer.h
@@ -9,7 +9,7 @@
 
 class event_loop;
 
-/// A one-shot or repeating timer. Destruction cancels it, also from inside its own handler.
+/// A one-shot or repeating timer. Its destructor cancels it and may run inside its own handler.
 class timer
 {
 public:
--- a/tests/unit/core_metrics_test.cpp
+++ b/tests/unit/core_metrics_test.cpp
@@ -1,4 +1,4 @@
-// Guards against metrics that a Prometheus reader cannot parse and against wrong quantiles.
+// Guards against metrics that Prometheus cannot parse and against inaccurate quantiles.
 
 #include "corneltally/core/metrics.h"
 
@@ -16,7 +16,7 @@
 
 } // namespace
 
-TEST_CASE("counters are written with one type line for all of their labels")
+TEST_CASE("a counter has one type line for all of its label values")
 {
     core::metrics metrics;
     metrics.count("requests_total{outcome=\"a\"}");
@@ -31,7 +31,7 @@
              "corneltally_settings_version 7\n");
 }
 
-TEST_CASE("latencies have a sum, a count and quantiles near the true ones")
+TEST_CASE("latencies have a sum, a count and accurate quantiles")
 {
     core::metrics metrics;
     metrics.observe("request_seconds", 250ms);
--- a/tests/unit/event_loop_test.cpp
+++ b/tests/unit/event_loop_test.cpp
@@ -1,4 +1,4 @@
-// Guards against posted tasks that keep the loop from serving timers and sockets.
+// Guards against posted tasks that starve timers and sockets.
 
 #include "corneltally/kernel/event_loop.h"
 #include "corneltally/kernel/timer.h"
@@ -10,14 +10,14 @@
 using namespace corneltally;
 using namespace std::chrono_literals;
 
-TEST_CASE("an endless chain of posted tasks does not hold up a timer")
+TEST_CASE("an endless chain of posted tasks does not starve a timer")
 {
     kernel::event_loop loop;
     kernel::timer end{loop, [&loop] { loop.stop(); }};
     end.startOnce(5ms);
     long long rounds = 0;
     std::function<void()> again = [&] {
-        // The bound ends the test if the timer never fires.
+        // Ends the test if the timer never fires.
         if (++rounds > 50'000'000)
             loop.stop();
         else
--- a/tests/unit/kernel_pause_test.cpp
+++ b/tests/unit/kernel_pause_test.cpp
@@ -1,5 +1,5 @@
-// Guards against services that act on outdated state after the process was stopped: the pause has
-// to be reported before what waited during it.
+// Guards against services that act on outdated state after the process was stopped: the pause must
+// be reported before events that became ready during it are handled.
 
 #include "corneltally/kernel/event_loop.h"
 #include "corneltally/kernel/timer.h"
@@ -25,7 +25,7 @@
     kernel::timer end(loop, [&] { loop.stop(); });
     due.startOnce(400ms);
     end.startOnce(1500ms);
-    // Blocks the loop as a stopped process is blocked.
+    // Blocks the loop to simulate a stopped process.
     kernel::timer block(loop, [&] {
         loop.post([&] { order.append("message "); });
         std::this_thread::sleep_for(600ms);
--- a/tests/unit/kernel_shutdown_test.cpp
+++ b/tests/unit/kernel_shutdown_test.cpp
@@ -1,5 +1,5 @@
-// Guards against the use of the event base after it was freed: a posted task that never ran may own
-// timers, and their destructors remove events from the base.
+// Guards against use of the event base after it was freed: a posted task that never ran may own
+// timers, whose destructors remove events from the base.
 
 #include "corneltally/kernel/event_loop.h"
 
@@ -24,7 +24,7 @@
     std::free(inMemory);
 }
 
-/// Notes at its end whether the base of the loop still exists.
+/// Its destructor records whether the event base of the loop was already freed.
 struct destruction_probe
 {
     explicit destruction_probe(std::optional<bool> &outBaseWasFreed)
@@ -45,7 +45,7 @@
     {
         kernel::event_loop loop;
         sWatchedBase = loop.base();
-        // The destructor of the first task's state posts the second task.
+        // The deleter of the object that the first task captures posts the second task.
         auto posting = std::shared_ptr<destruction_probe>(
             new destruction_probe(first), [&loop, &second](destruction_probe *inProbe) {
                 delete inProbe;
