--- a/apps/forward_command.cpp
+++ b/apps/forward_command.cpp
@@ -32,12 +32,12 @@
 {
     command_line line("forward", "Runs a forwarding instance until it is drained by SIGTERM.");
     line.add("settings", "FILE",
-             std::string("instance settings (TOML); else the file that ")
-                 + platform::cSettingsVariable + " names");
+             std::string("instance settings (TOML); default: the file in ")
+                 + platform::cSettingsVariable + " (environment variable)");
     if (!line.parse(inArguments, inOutput.text, inOutput.errors))
         return line.exitCode();
-    const char *named = std::getenv(platform::cSettingsVariable);
-    const std::string path = line.value("settings", named != nullptr ? named : "");
+    const char *variable = std::getenv(platform::cSettingsVariable);
+    const std::string path = line.value("settings", variable != nullptr ? variable : "");
     if (path.empty())
         return line.fail("--settings FILE is required", inOutput.errors);
     const auto settings = readSettings(path, inOutput.errors);
--- a/apps/publish_command.cpp
+++ b/apps/publish_command.cpp
@@ -20,11 +20,11 @@
 
 constexpr long long cMaxTimeoutSeconds = 3'600;
 
-/// Calls of the publisher, each waited for.
-class publishing
+/// Runs the asynchronous calls of the settings publisher to completion, one at a time.
+class publish_session
 {
 public:
-    publishing(const http::address &inPlatform, core::duration inTimeLimit)
+    publish_session(const http::address &inPlatform, core::duration inTimeLimit)
         : mLog(mLoop, inPlatform)
         , mPublisher(mLoop, mLog, inTimeLimit)
     { }
@@ -51,7 +51,10 @@
         return result;
     }
 
-    bool isOnLog(const std::string &inId) const { return mPublisher.findVerdict(inId).has_value(); }
+    bool isPublished(const std::string &inId) const
+    {
+        return mPublisher.findVerdict(inId).has_value();
+    }
 
     const settings::settings_tree &tree() const { return mPublisher.replica().tree(); }
 
@@ -65,19 +68,19 @@
 {
     ioLine.add("platform", "IP:PORT", "address of the platform");
     ioLine.add("change", "FILE", "publish a change (TOML or JSON)");
-    ioLine.add("tree", "FILE", "publish a whole first tree (TOML)");
+    ioLine.add("tree", "FILE", "publish a whole tree as the first one (TOML)");
     ioLine.add("set", "PATH KEY=VALUE", "set one value (repeatable, one change)", 2);
     ioLine.add("unset", "PATH KEY", "remove one value, so that it is inherited again (repeatable)",
                2);
-    ioLine.add("remove", "PATH", "remove a node with all below it (repeatable)");
-    ioLine.add("author", "NAME", "who makes the change (default: operator)");
+    ioLine.add("remove", "PATH", "remove a node and all nodes below it (repeatable)");
+    ioLine.add("author", "NAME", "author of the change (default: operator)");
     ioLine.add("id", "ID",
                "id of the change, to resolve an unknown outcome by publishing it again");
-    ioLine.add("timeout", "SECONDS", "how long to try (default: 30)");
+    ioLine.add("timeout", "SECONDS", "time limit for publishing (default: 30)");
 }
 
-/// Returns what is wrong with the combination of options; empty if nothing is.
-std::string usageMistake(const command_line &inLine)
+/// Returns an error message if the combination of options is invalid, or an empty string.
+std::string findUsageError(const command_line &inLine)
 {
     if (http::parseAddress(inLine.value("platform")).port == 0)
         return "--platform IP:PORT is required";
@@ -126,7 +129,7 @@
     return cExitFailed;
 }
 
-bool complete(change &ioChange, const command_line &inLine, command_output inOutput)
+bool completeChange(change &ioChange, const command_line &inLine, command_output inOutput)
 {
     if (inLine.has("author") || ioChange.author.empty())
         ioChange.author = inLine.value("author", "operator");
@@ -136,26 +139,28 @@
         return true;
     const auto digits = randomHex(12);
     if (!digits) {
-        inOutput.errors << "corneltally publish: the system has no random numbers; use --id\n";
+        inOutput.errors
+            << "corneltally publish: the system's random number generator failed; use --id\n";
         return false;
     }
     ioChange.id = "change-" + *digits;
     return true;
 }
 
-int publishOne(publishing &ioPublishing, change &ioChange, command_output inOutput)
+int publishChange(publish_session &ioSession, change &ioChange, command_output inOutput)
 {
-    // A change that is on the log already is only looked up, not checked against the newer tree.
-    if (!ioPublishing.isOnLog(ioChange.id)) {
-        settings::completeBase(ioChange, ioPublishing.tree());
-        const auto next = ioPublishing.tree().apply(ioChange, ioPublishing.tree().version() + 1);
+    // A change that is already on the log is only looked up. It may not apply to the current tree,
+    // which is newer than the one it was made for.
+    if (!ioSession.isPublished(ioChange.id)) {
+        settings::completeBase(ioChange, ioSession.tree());
+        const auto next = ioSession.tree().apply(ioChange, ioSession.tree().version() + 1);
         if (!next) {
             inOutput.errors << "not published: " << next.reason().message << "; "
                             << next.reason().remedy << '\n';
             return next.reason().kind == core::error_kind::conflict ? cExitFailed : cExitUsage;
         }
     }
-    return report(ioChange, ioPublishing.publish(ioChange), inOutput);
+    return report(ioChange, ioSession.publish(ioChange), inOutput);
 }
 
 } // namespace
@@ -163,13 +168,13 @@
 int runPublish(const std::vector<std::string> &inArguments, command_output inOutput)
 {
     command_line line("publish",
-                      "Publishes a change of the settings tree and reports whether it was "
+                      "Publishes a change to the settings tree and reports whether it was "
                       "accepted.");
     addOptions(line);
     if (!line.parse(inArguments, inOutput.text, inOutput.errors))
         return line.exitCode();
-    if (const std::string mistake = usageMistake(line); !mistake.empty())
-        return line.fail(mistake, inOutput.errors);
+    if (const std::string usageError = findUsageError(line); !usageError.empty())
+        return line.fail(usageError, inOutput.errors);
     const auto limit = timeLimit(line);
     if (!limit)
         return line.fail("--timeout needs whole seconds from 1 to 3600", inOutput.errors);
@@ -179,20 +184,20 @@
     printProblems(problems, inOutput.errors);
     if (!problems.empty())
         return cExitUsage;
-    publishing session(http::parseAddress(line.value("platform")), *limit);
+    publish_session session(http::parseAddress(line.value("platform")), *limit);
     if (const auto reason = session.load()) {
         inOutput.errors << "not published: " << reason->message << "; " << reason->remedy << '\n';
         return cExitFailed;
     }
     if (line.has("tree") && session.tree().version() > 0) {
-        inOutput.errors << "not published: there is a tree of version " << session.tree().version()
-                        << " already; use --change, --set or --remove\n";
+        inOutput.errors << "not published: there is already a tree of version "
+                        << session.tree().version() << "; use --change, --set or --remove\n";
         return cExitFailed;
     }
     for (change &entry : changes) {
-        if (!complete(entry, line, inOutput))
+        if (!completeChange(entry, line, inOutput))
             return cExitFailed;
-        if (const int code = publishOne(session, entry, inOutput); code != cExitDone)
+        if (const int code = publishChange(session, entry, inOutput); code != cExitDone)
             return code;
     }
     return cExitDone;
