--- a/corneltally/settings/account_view.h
+++ b/corneltally/settings/account_view.h
@@ -13,7 +13,7 @@
     double burstTokens = 0;
     /// Share of an endpoint relative to other client accounts.
     double weight = 1;
-    /// Longest time that keys are accepted without confirmation that the tree is current; 0 is
+    /// Longest time that keys are accepted without confirmation that the tree is current; 0 means
     /// unlimited.
     long long maxSettingsAgeSeconds = 0;
 
--- a/corneltally/settings/catalog.cpp
+++ b/corneltally/settings/catalog.cpp
@@ -15,7 +15,7 @@
 constexpr std::string_view cAccountsPrefix = "/accounts/";
 constexpr std::string_view cAdaptersPrefix = "/adapters/";
 
-/// Reads values of one node, with inheritance. Absent values leave the target's default.
+/// Reads the effective values of one node. An absent value leaves the target unchanged.
 class node_reader
 {
 public:
@@ -132,7 +132,8 @@
     stamp endpoints;
     stamp instances;
     std::array<stamp, cAdapterShards> adapters;
-    /// Shard and name of every adapter, so that changed shards need no second walk over the tree.
+    /// Shard and name of every adapter, so that rebuilding changed shards needs no second pass over
+    /// the tree.
     std::vector<std::pair<std::size_t, std::string_view>> adapterNames;
 
     explicit part_stamps(const settings_tree &inTree)
--- a/corneltally/settings/catalog.h
+++ b/corneltally/settings/catalog.h
@@ -22,28 +22,28 @@
 class settings_tree;
 
 /// Typed index of one version of the settings tree, built once per version. Look-ups on the request
-/// path take constant time. Parts that a change does not concern are shared with the catalog of the
-/// previous version: a rebuild of 21,000 adapters would stall the event loop for 0.1 s.
+/// path take constant time. Parts that a change does not affect are shared with the index of the
+/// previous version: rebuilding 21,000 adapters would block the event loop for 0.1 s.
 class catalog
 {
 public:
-    /// An empty catalog of version 0.
+    /// Creates an empty index of version 0.
     catalog();
-    /// Addresses by endpoint name, which replace those of the tree.
+    /// Addresses by endpoint name; they override those of the tree.
     using address_map = std::map<std::string, std::string, std::less<>>;
 
-    /// Shares what did not change since inPrevious, which must be of the same tree and have been
-    /// built with the same addresses.
+    /// Shares the unchanged parts of inPrevious, which must index an earlier version of the same
+    /// tree and be built with the same addresses.
     explicit catalog(const settings_tree &inTree, const address_map &inEndpointAddresses = {},
                      const catalog *inPrevious = nullptr);
 
-    /// A copy in which the endpoints among these names are leaving.
+    /// Returns a copy in which the endpoints with the given names are marked as leaving.
     catalog withLeaving(const std::set<std::string, std::less<>> &inNames) const;
 
-    /// Offset of the last log record in the tree.
+    /// Offset of the last log record that is part of the tree.
     std::uint64_t version() const { return mVersion; }
 
-    /// Look-ups return nullptr if there is no such entry.
+    /// The find functions return nullptr if the entry does not exist.
     const key_view *findKey(std::string_view inDigest) const;
     const account_view *findAccount(std::string_view inName) const;
     const adapter_view *findAdapter(std::string_view inName) const;
@@ -51,7 +51,7 @@
     const endpoint_view *findEndpoint(std::string_view inName) const;
     const instance_view *findInstance(std::string_view inName) const;
 
-    /// All entries, ordered by name, so that every instance sees the same order.
+    /// All entries, ordered by name, so that the order is the same on every instance.
     const std::map<std::string, account_view, std::less<>> &accounts() const
     {
         return *mAccounts.entries;
@@ -65,7 +65,7 @@
         return *mInstances.entries;
     }
     std::size_t adapterCount() const;
-    /// Calls a function with every adapter, in no order.
+    /// Calls a function with every adapter, in unspecified order.
     template <typename Function>
     void forEachAdapter(Function inFunction) const
     {
@@ -98,7 +98,8 @@
     template <typename Value>
     using ordered_index = std::map<std::string, Value, std::less<>>;
 
-    /// Changes whenever a node of a part, or a node that it inherits from, changes.
+    /// Version of a part. It changes whenever a node of the part, or a node that the part inherits
+    /// from, changes.
     struct stamp
     {
         std::uint64_t nodes = 0;
@@ -108,7 +109,7 @@
 
         friend bool operator==(const stamp &, const stamp &) = default;
     };
-    /// Entries of a part of the tree. They are shared between versions, since they are immutable.
+    /// Entries of a part of the tree. They are immutable, so that versions can share them.
     template <typename Entries>
     struct part
     {
--- a/corneltally/settings/change.h
+++ b/corneltally/settings/change.h
@@ -13,11 +13,11 @@
 
 namespace corneltally::settings {
 
-/// A change of the settings tree, as operators append it to the log.
+/// A change of the settings tree, as an operator appends it to the log.
 struct change
 {
-    /// Sets one key of a node; without a value the key is removed, so that the inherited value
-    /// applies again. A node that does not exist is created in both cases.
+    /// Sets one key of a node. Without a value, removes the key, so that the inherited value
+    /// applies again. Either creates the node if it does not exist.
     struct assignment
     {
         std::string path;
@@ -29,16 +29,16 @@
 
     std::string id;
     std::string author;
-    /// Version of each node that the change modifies; 0 for a node that it creates.
+    /// Expected version of each node that the change modifies; 0 for a node that it creates.
     std::map<std::string, std::uint64_t> base;
     std::vector<assignment> set;
-    /// Nodes to remove with everything below them; carried out before the assignments.
+    /// Nodes to remove, with everything below them, before the assignments are made.
     std::vector<std::string> remove;
 
-    /// The log record of the change.
+    /// Returns the log record of the change.
     std::string toJson() const;
 
-    /// Reads a log record or an operator's file (which may lack id, author and base).
+    /// Parses a log record or an operator's file, which may lack id, author and base.
     static core::result<change> sFromJson(std::string_view inText);
 
     friend auto operator<=>(const change &, const change &) = default;
--- a/corneltally/settings/change_file.cpp
+++ b/corneltally/settings/change_file.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Approximate JSON size at which a whole tree is continued in another change.
+/// Approximate JSON size at which changesFor() starts another change.
 constexpr std::size_t cChangeBytes = 256 * 1024;
 
 std::string shortLabel(const toml_document::entry &inEntry)
@@ -21,7 +21,7 @@
     return text.append(inEntry.key);
 }
 
-/// Takes a value outside of `[set]`; returns what is wrong with it.
+/// Reads a value outside of `[set]`. Returns an error message, or an empty string on success.
 std::string readMember(const toml_document::entry &inEntry, change &ioChange)
 {
     const setting_value none = false;
@@ -76,8 +76,8 @@
         + (inEntry.value ? toText(*inEntry.value).size() : 0);
 }
 
-/// Assignments that create a node as it is. A node without own values is created by removing a key
-/// from it.
+/// Returns the assignments that create a node with its own values. A node without own values is
+/// created by the removal of a key.
 std::vector<change::assignment> assignmentsFor(const std::string &inPath,
                                                const settings_tree::node &inNode)
 {
@@ -131,7 +131,8 @@
 {
     std::vector<change> changes(1);
     std::size_t bytes = 0;
-    // The order of the nodes puts groups and accounts before routes that refer to them.
+    // In path order, groups precede their members, and accounts and endpoints precede the routes
+    // that refer to them.
     for (const auto &[path, node] : inTree.nodes()) {
         if (bytes >= cChangeBytes) {
             changes.emplace_back();
--- a/corneltally/settings/effective_value.h
+++ b/corneltally/settings/effective_value.h
@@ -7,7 +7,7 @@
 
 namespace corneltally::settings {
 
-/// A value in force at a node and the node that it was set at.
+/// An effective value of a node and the path of the node that sets it.
 struct effective_value
 {
     setting_value value;
--- a/corneltally/settings/endpoint_view.h
+++ b/corneltally/settings/endpoint_view.h
@@ -16,11 +16,11 @@
     std::string failureDomain;
     endpoint_kind kind = endpoint_kind::model;
     std::string baseModel;
-    /// Whether the endpoint refuses commands with an old fencing number.
+    /// Whether the endpoint rejects commands with an outdated fencing number.
     bool checksFencing = false;
-    /// Adapters that can be resident at the same time.
+    /// Maximum number of adapters that are resident at the same time.
     int adapterSlots = 4;
-    /// Requests that run at the same time.
+    /// Maximum number of requests that run at the same time.
     int runSlots = 8;
     bool leaving = false;
 
--- a/corneltally/settings/forwarding_settings.h
+++ b/corneltally/settings/forwarding_settings.h
@@ -17,33 +17,35 @@
 {
     std::string instanceName;
     std::string failureDomain;
-    /// Identity of the machine; two processes on one machine count as the same holder of engines.
+    /// Identity of the machine. Processes on the same machine count as one holder of engines.
     std::string machine;
     std::string callers;
     std::string operators;
     std::string peers;
     std::string storeAddress;
-    /// Addresses of other instances, separated by commas; they may be outdated.
+    /// Comma-separated addresses of other instances; they may be outdated.
     std::string seeds;
-    /// Time between SIGTERM and the end of the process by force.
+    /// Time between SIGTERM and the forced end of the process.
     std::int64_t stopMs = 8000;
-    /// Time between the orders of two holders of one engine.
+    /// Minimum time between the last order of an engine's holder and the first order of the next
+    /// holder.
     std::int64_t holderPauseMs = 3000;
-    /// Bound of the times that requests are sent again, over all instances.
+    /// Retry budget over all instances: ratio of retries to requests, its time window and the
+    /// number of retries that are allowed in addition.
     double retryRatio = 0.2;
     std::int64_t retryWindowMs = 10'000;
     double retrySlack = 0;
-    /// Time to load an adapter and speed of reading prompts, for estimates.
+    /// Adapter load time and prefill speed, for estimates.
     std::int64_t adapterLoadMs = 250;
     double promptTokensPerMs = 40;
 
-    /// Checks a file as a whole. On failure the reason lists every problem, a line for each;
-    /// outProblems gets them one by one.
+    /// Parses and checks a file. On failure the error lists every problem on a line of its own;
+    /// outProblems receives them individually.
     static core::result<forwarding_settings> sFromToml(std::string_view inText,
                                                        std::string_view inFile,
                                                        std::vector<problem> *outProblems = nullptr);
 
-    /// Whether a file is one of a forwarding instance: it has a [store] table.
+    /// Whether a file belongs to a forwarding instance, recognised by its [store] table.
     static bool sIsOne(std::string_view inText);
 
     /// A key of the file with its table, for the reference page.
--- a/corneltally/settings/json_value.h
+++ b/corneltally/settings/json_value.h
@@ -8,10 +8,10 @@
 
 namespace corneltally::settings {
 
-/// JSON form of a value.
+/// Converts a value to JSON.
 nlohmann::json toJsonValue(const setting_value &inValue);
 
-/// The value of a JSON text element; empty if no setting has such a type.
+/// Converts JSON to a value; empty if the JSON type is not a type of settings.
 std::optional<setting_value> fromJsonValue(const nlohmann::json &inJson);
 
 } // namespace corneltally::settings
--- a/corneltally/settings/key_definition.cpp
+++ b/corneltally/settings/key_definition.cpp
@@ -78,7 +78,7 @@
         number = *real;
     else
         return value_problem{"wrong type", expectation(inDefinition)};
-    // Written so that not-a-number fails as well.
+    // Negated so that NaN fails as well.
     if (!(number >= inDefinition.minimum && number <= inDefinition.maximum))
         return value_problem{toText(inValue) + " is out of range", expectation(inDefinition)};
     return std::nullopt;
--- a/corneltally/settings/key_definition.h
+++ b/corneltally/settings/key_definition.h
@@ -9,7 +9,7 @@
 
 namespace corneltally::settings {
 
-/// What a value may be.
+/// Type of a value.
 enum class value_type : std::uint8_t {
     integer,
     number,
@@ -20,7 +20,7 @@
     name,
     /// "ip:port" with a port above 0.
     address,
-    /// "ip:port"; port 0 lets the kernel choose.
+    /// "ip:port"; with port 0 the kernel chooses the port.
     listen_address,
     /// 64 lower-case hexadecimal digits.
     digest,
@@ -40,17 +40,17 @@
     std::string_view defaultText;
     double minimum = 0;
     double maximum = 0;
-    /// Permitted values, separated by '|'; empty if the type alone decides.
+    /// Permitted values, separated by '|'; empty if the type does not restrict them further.
     std::string_view choices;
 };
 
 /// Name of a type as it appears in messages and on the reference page.
 std::string_view toString(value_type inType);
 
-/// Range or permitted values of a key as text; empty if the type alone decides.
+/// Range or permitted values of a key as text; empty if only the type restricts the value.
 std::string rangeText(const key_definition &inDefinition);
 
-/// A mistake in a value: what is wrong and what to do about it.
+/// An invalid value: what is wrong with it and how to correct it.
 struct value_problem
 {
     std::string message;
@@ -61,14 +61,14 @@
 std::optional<value_problem> checkValue(const key_definition &inDefinition,
                                         const setting_value &inValue);
 
-/// Whether a text may be the name of a node or an instance.
+/// Whether a text is a valid name of a node or an instance.
 bool isName(std::string_view inText);
 
-/// Whether a text is "ip:port"; port 0 counts only if inAllowZero is set.
+/// Whether a text is "ip:port"; port 0 is valid only if inAllowZero is set.
 bool isAddress(std::string_view inText, bool inAllowZero);
 
-/// Longest name, longest text and most entries of a list. They bound the memory that one change
-/// can take on every instance.
+/// Maximum length of a name, of a text and of a list. They bound the memory that one change can
+/// take on every instance.
 constexpr std::size_t cMaxNameLength = 64;
 constexpr std::size_t cMaxTextLength = 1024;
 constexpr std::size_t cMaxListLength = 1024;
--- a/corneltally/settings/key_view.h
+++ b/corneltally/settings/key_view.h
@@ -5,7 +5,7 @@
 
 namespace corneltally::settings {
 
-/// Effective settings of a caller's key. The key itself is never stored.
+/// Effective settings of a caller's API key. Only the digest of the key is stored.
 struct key_view
 {
     std::string id;
--- a/corneltally/settings/log_retention.cpp
+++ b/corneltally/settings/log_retention.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// A snapshot is written when the oldest needed record has reached half of the retention; the
-/// other half is the time for outages of the log.
+/// A snapshot is due when the age of the oldest needed record reaches this fraction of the
+/// retention. The remaining half allows for outages of the log.
 constexpr double cDueAge = 0.5;
 constexpr double cDueAgePerRank = 0.05;
 constexpr std::size_t cMaxRank = 4;
-/// Records that a new reader has to apply at most, so that it starts quickly.
+/// Maximum number of records that a new reader has to apply, so that it starts quickly.
 constexpr std::size_t cRecordsPerSnapshot = 4'000;
 constexpr std::size_t cMaxIncompleteSnapshots = 8;
 
@@ -30,7 +30,7 @@
         return;
     const std::pair key{inPart.offset, inPart.digest};
     part_map &parts = mParts[key];
-    // A later copy of a part expires later.
+    // If a part was written more than once, the later copy expires later.
     parts.insert_or_assign(inPart.index, written_part{inRecordOffset, inTimeMs});
     if (parts.size() < inPart.count) {
         if (mParts.size() > cMaxIncompleteSnapshots)
@@ -55,7 +55,7 @@
     }
     const auto kept = mRecordTimes.lower_bound(inFirst);
     if (kept != mRecordTimes.begin()) {
-        // The youngest of the expired records is the closest estimate.
+        // The newest expired record gives the closest estimate of the retention.
         expired = std::max(expired.value_or(0), std::prev(kept)->second);
         mNeededExpired = true;
         mRecordTimes.erase(mRecordTimes.begin(), kept);
--- a/corneltally/settings/log_retention.h
+++ b/corneltally/settings/log_retention.h
@@ -11,23 +11,23 @@
 
 namespace corneltally::settings {
 
-/// Knows what a new reader of the log needs (the latest complete snapshot and the records after
-/// it), how long the log keeps it, and hence when the next snapshot has to be written. Times are
-/// milliseconds of the log's wall clock.
+/// Decides when the next snapshot has to be written to the log. Tracks the records that a new
+/// reader needs (the latest complete snapshot and the records after it) and how long the log keeps
+/// them. Times are milliseconds of the log's wall clock.
 class log_retention
 {
 public:
-    /// Notes a record of the log.
+    /// Adds a record of the log.
     void noteRecord(std::uint64_t inOffset, std::int64_t inTimeMs);
 
-    /// Notes a snapshot part that is on the log as the record at an offset.
+    /// Adds a snapshot part; inRecordOffset is the offset of its record on the log.
     void notePart(const snapshot_part &inPart, std::uint64_t inRecordOffset, std::int64_t inTimeMs);
 
-    /// Notes the first offset that the log still has.
+    /// Updates the first offset that the log still has, and forgets expired records.
     void noteLogStart(std::uint64_t inFirst, std::int64_t inNowMs);
 
-    /// Whether a snapshot has to be written now. The writer's rank (0 first) staggers the
-    /// instances, so that normally only one writes.
+    /// Whether a snapshot has to be written now. A higher rank (starting at 0) delays the snapshot,
+    /// so that normally only one instance writes it.
     bool snapshotDue(std::int64_t inNowMs, std::size_t inRank,
                      std::chrono::seconds inRetention) const;
 
@@ -46,7 +46,7 @@
     struct written_snapshot
     {
         std::uint64_t covers = 0;
-        /// Of the part that expires first.
+        /// The part that expires first.
         written_part oldestPart;
     };
     using part_map = std::map<std::size_t, written_part>;
@@ -54,9 +54,9 @@
     std::map<std::uint64_t, std::int64_t> mRecordTimes;
     std::map<std::pair<std::uint64_t, std::string>, part_map> mParts;
     std::optional<written_snapshot> mSnapshot;
-    /// Shortest age at which a record was found to have expired.
+    /// Shortest observed age of an expired record.
     std::optional<std::int64_t> mObservedRetentionMs;
-    /// Something that a new reader needs is not on the log any more.
+    /// Whether a record that a new reader needs has expired.
     bool mNeededExpired = false;
 };
 
--- a/corneltally/settings/nearest_name.h
+++ b/corneltally/settings/nearest_name.h
@@ -5,7 +5,7 @@
 
 namespace corneltally::settings {
 
-/// The candidate that a misspelt name most likely stands for; empty if none is close.
+/// Returns the candidate closest to a misspelt name by edit distance; empty if none is close.
 std::string_view nearestName(std::string_view inName,
                              const std::vector<std::string_view> &inCandidates);
 
--- a/corneltally/settings/node_kind.h
+++ b/corneltally/settings/node_kind.h
@@ -24,23 +24,22 @@
     instance,
 };
 
-/// Kind of the node at a path; unknown if the path is not well-formed or not part of the tree's
-/// layout.
+/// Kind of the node at a path; unknown if the path is malformed or the tree has no such path.
 node_kind kindOf(std::string_view inPath);
 
 /// Path pattern of a kind, for messages and the reference page, such as "/accounts/<name>".
 std::string_view pathPattern(node_kind inKind);
 
-/// Kind of the nodes directly above; root for root.
+/// Kind of the parent node; root for root.
 node_kind parentKind(node_kind inKind);
 
-/// Path of the node above; "/" for a top-level path and for "/" itself.
+/// Path of the parent node; "/" for a top-level path and for "/" itself.
 std::string_view parentPath(std::string_view inPath);
 
-/// Last part of a path; empty for "/".
+/// Last component of a path; empty for "/".
 std::string_view nameOf(std::string_view inPath);
 
-/// Most parts of a path. Bounds the cost of inheritance.
+/// Maximum number of path components; bounds the cost of looking up inherited values.
 constexpr int cMaxDepth = 8;
 
 } // namespace corneltally::settings
--- a/corneltally/settings/problem.h
+++ b/corneltally/settings/problem.h
@@ -8,13 +8,13 @@
 
 namespace corneltally::settings {
 
-/// One mistake in a settings file.
+/// One error in a settings file.
 struct problem
 {
     std::string file;
-    /// 1 for the first line; 0 if the mistake has no line (for example a missing key).
+    /// Line number, starting at 1; 0 if the problem has no line (for example a missing key).
     int line = 0;
-    /// Key with the table or node that holds it.
+    /// Key, qualified by its table or node.
     std::string key;
     std::string message;
     std::string remedy;
@@ -22,10 +22,10 @@
     friend auto operator<=>(const problem &, const problem &) = default;
 };
 
-/// "file:line: key: message; remedy", on one line.
+/// Formats a problem on one line: "file:line: key: message; remedy".
 std::string toText(const problem &inProblem);
 
-/// All problems as one error, a line for each.
+/// Combines all problems into one error with a line for each.
 core::error toError(const std::vector<problem> &inProblems);
 
 } // namespace corneltally::settings
--- a/corneltally/settings/process_settings.cpp
+++ b/corneltally/settings/process_settings.cpp
@@ -22,9 +22,9 @@
     std::string file;
     process_settings settings;
     std::vector<problem> problems;
-    /// Keys that were found, as "table.key".
+    /// Known keys that the file contains, as "table.key".
     std::vector<std::string> found;
-    /// Addresses with the key that holds them.
+    /// Addresses, each with the first key that contains it.
     std::map<std::string, std::string> addresses;
 
     void report(int inLine, std::string inKey, std::string inMessage, std::string inRemedy)
@@ -130,7 +130,7 @@
         const std::string key = qualified(inEntry.table.front(), inEntry.key);
         ioCheck.report(inEntry.line, key, "a table is not expected here", "remove it");
     } else if (inEntry.key == cTestTable) {
-        return; // Not among the known tables, so that no message suggests it.
+        return; // Absent from tableNames(), so that no message suggests it.
     } else if (const auto names = tableNames();
                std::ranges::find(names, inEntry.key) == names.end()) {
         ioCheck.report(inEntry.line, inEntry.key, "unknown table", suggestion(inEntry.key, names));
@@ -142,7 +142,8 @@
 {
     const std::string key = qualified(inKey.table, inEntry.key);
     ioCheck.found.push_back(key);
-    // A value without a type that settings have fails as an empty list does.
+    // No key of this file accepts a list, so an empty one makes a value of an unsupported type
+    // fail.
     const setting_value value = inEntry.value.value_or(std::vector<std::string>());
     if (const auto failure = checkValue(inKey.definition, value)) {
         ioCheck.report(inEntry.line, key, failure->message, failure->remedy);
@@ -181,7 +182,7 @@
         return;
     }
     if (inEntry.table.size() > 1)
-        return; // The table itself was reported.
+        return; // readTable() reported the nested table.
     const std::string &table = inEntry.table.front();
     if (table == cPeerTable || table == cEndpointTable) {
         readNamedAddress(ioCheck, inEntry);
--- a/corneltally/settings/process_settings.h
+++ b/corneltally/settings/process_settings.h
@@ -20,11 +20,11 @@
     /// Open connections of callers.
     std::int64_t maxConnections = 10'000;
     std::int64_t maxBodyBytes = 1024 * 1024;
-    /// From the first byte of a request to its last one.
+    /// Longest time from the first byte of a request to its last one.
     std::int64_t requestTimeoutMs = 10'000;
     /// Longest idle time of a caller's connection between requests.
     std::int64_t idleTimeoutMs = 75'000;
-    /// Bytes of an answer that a caller has not taken yet; its connection is closed beyond that.
+    /// Maximum number of unsent bytes of an answer; the caller's connection is closed beyond that.
     std::int64_t maxUnsentBytes = 1024 * 1024;
 
     friend auto operator<=>(const process_limits &, const process_limits &) = default;
@@ -35,22 +35,23 @@
 {
     std::string instanceName;
     std::string failureDomain;
-    /// Listeners for callers, operators and other instances; port 0 lets the kernel choose.
+    /// Listen addresses for callers, operators and other instances; with port 0 the kernel chooses
+    /// the port.
     std::string callers;
     std::string operators;
     std::string peers;
     std::string platformAddress;
-    /// Replaces peer_address of the settings tree, by instance name.
+    /// Overrides of peer_address in the settings tree, by instance name.
     std::map<std::string, std::string, std::less<>> peerAddresses;
-    /// Replaces the address of endpoints of the settings tree, by endpoint name.
+    /// Overrides of the address of endpoints in the settings tree, by endpoint name.
     std::map<std::string, std::string, std::less<>> endpointAddresses;
     process_limits limits;
-    /// Guard that is switched off to show that the checkers of the proofs can fail: "claim",
-    /// "fence", "shares" or "withdraw". Not in the reference; needs --allow-test-settings.
+    /// Guard that a test disables to verify that the checkers detect violations: "claim", "fence",
+    /// "shares" or "withdraw". Omitted from the reference page; requires --allow-test-settings.
     std::string brokenGuard;
 
-    /// Checks a file as a whole. On failure the reason lists every problem, a line for each;
-    /// outProblems gets them one by one.
+    /// Parses and checks a file. On failure the error lists every problem on a line of its own;
+    /// outProblems receives them individually.
     static core::result<process_settings> sFromToml(std::string_view inText,
                                                     std::string_view inFile,
                                                     std::vector<problem> *outProblems = nullptr);
--- a/corneltally/settings/route_view.h
+++ b/corneltally/settings/route_view.h
@@ -8,10 +8,11 @@
 
 namespace corneltally::settings {
 
-/// How quickly a request must start. Prompt requests go before patient ones, within a bound.
+/// Urgency of a request. Requests of the prompt class start before those of the patient class,
+/// within a bound.
 enum class traffic_class : std::uint8_t { prompt, patient };
 
-/// What kind of endpoint serves a route.
+/// Kind of endpoint that serves a route.
 enum class endpoint_kind : std::uint8_t { model, service };
 
 /// Effective settings of a route.
@@ -19,20 +20,20 @@
 {
     std::string name;
     endpoint_kind kind = endpoint_kind::model;
-    /// Path of the caller's request, matched exactly.
+    /// Path of the caller's request; it must match exactly.
     std::string path;
-    /// Open routes need no key.
+    /// Whether requests need no API key.
     bool open = false;
-    /// Whether a request may run more than once.
+    /// Whether a request may be run more than once.
     bool repeatable = false;
     bool requireIdempotencyKey = false;
     traffic_class trafficClass = traffic_class::prompt;
     std::chrono::milliseconds timeout{60'000};
-    /// Longest silence of a stream before it is taken as dead.
+    /// Idle time after which a stream counts as unresponsive.
     std::chrono::milliseconds streamIdle{15'000};
-    /// Names of the endpoints that serve a service route; empty means all of the kind.
+    /// Names of the endpoints that serve a service route; if empty, all endpoints of the kind do.
     std::vector<std::string> endpoints;
-    /// Client accounts that may use the route; empty means all.
+    /// Client accounts that may use the route; if empty, all may.
     std::vector<std::string> accounts;
 
     friend auto operator<=>(const route_view &, const route_view &) = default;
--- a/corneltally/settings/setting_value.h
+++ b/corneltally/settings/setting_value.h
@@ -11,7 +11,7 @@
 using setting_value
     = std::variant<bool, std::int64_t, double, std::string, std::vector<std::string>>;
 
-/// The value as it is written in a TOML file.
+/// Formats a value as in a TOML file.
 std::string toText(const setting_value &inValue);
 
 } // namespace corneltally::settings
--- a/corneltally/settings/settings_replica.cpp
+++ b/corneltally/settings/settings_replica.cpp
@@ -9,18 +9,18 @@
 
 namespace {
 
-/// Bounds on records that wait for earlier ones and on records kept for peers.
+/// Limits on records that wait for earlier ones and on records kept for peers.
 constexpr std::size_t cMaxWaitingBytes = 16 * 1024 * 1024;
 constexpr std::size_t cMaxHistoryBytes = 1024 * 1024;
 constexpr std::size_t cMaxHistoryRecords = 4'096;
-/// Longer changes are rejected: they would not fit into a message between instances.
+/// Longer changes are rejected, since they would not fit into a message between instances.
 constexpr std::size_t cMaxChangeBytes = 512 * 1024;
 
-/// Versions start at 1, since 0 stands for an absent node. A log may number its records from 0 or
-/// from 1: a record at 0 is always rejected, so that it makes no difference whether it exists.
+/// Versions start at 1, since 0 denotes an absent node. A log may number its records from 0 or from
+/// 1: a record at offset 0 is always rejected, so that the replica works with both.
 constexpr std::uint64_t cFirstVersion = 1;
 
-/// The data of a record, or what is kept in place of a change that is too long.
+/// Returns the data of a record, or a malformed placeholder for a change that is too long.
 std::string_view withinLimit(std::string_view inData)
 {
     return inData.size() > cMaxChangeBytes ? std::string_view("too long") : inData;
@@ -124,7 +124,7 @@
     const auto [entry, isNew] = mWaiting.emplace(inOffset, inData);
     if (isNew)
         mWaitingBytes += inData.size();
-    // The lowest offsets are the ones that a snapshot most likely covers.
+    // A snapshot most likely covers the lowest offsets.
     while (mWaitingBytes > cMaxWaitingBytes) {
         mWaitingBytes -= mWaiting.begin()->second.size();
         mWaiting.erase(mWaiting.begin());
--- a/corneltally/settings/settings_replica.h
+++ b/corneltally/settings/settings_replica.h
@@ -15,16 +15,16 @@
 
 namespace corneltally::settings {
 
-/// What became of a log record.
+/// Outcome of a log record.
 enum class record_outcome : std::uint8_t {
     /// The change is part of the tree.
     accepted,
     rejected,
-    /// A snapshot of what was already known.
+    /// The record is a snapshot of a tree that the replica already has.
     snapshot,
 };
 
-/// Verdict on one log record. Every reader reaches the same one.
+/// Result of applying one log record. It is the same for every reader.
 struct record_verdict
 {
     std::uint64_t offset = 0;
@@ -35,53 +35,53 @@
     core::error reason;
 };
 
-/// One instance's copy of the settings tree. It applies log records strictly by offset, whether
-/// they come from the log or from peers, and never goes back to an older version. Times are
+/// One instance's copy of the settings tree. It applies log records strictly in offset order,
+/// whether they come from the log or from peers, and never returns to an older version. Times are
 /// milliseconds of the wall clock.
 class settings_replica
 {
 public:
-    /// A log record as it is kept for peers.
+    /// A log record kept for peers.
     struct record
     {
         std::uint64_t offset = 0;
         std::string data;
     };
 
-    /// Takes a record that was read from the log. Records that cannot be applied yet are kept.
-    /// Returns the verdicts on all records that were applied as a consequence.
+    /// Adds a record that was read from the log. Keeps it if it cannot be applied yet. Returns the
+    /// results of all records that were applied, including earlier kept ones.
     std::vector<record_verdict> addLogRecord(std::uint64_t inOffset, std::string_view inData,
                                              std::int64_t inTimeMs);
 
-    /// Takes a record that a peer passed on.
+    /// Adds a record that a peer relayed.
     std::vector<record_verdict> addPeerRecord(std::uint64_t inOffset, std::string_view inData);
 
-    /// Takes a snapshot part that a peer sent. An older copy than this one has no effect.
+    /// Adds a snapshot part that a peer sent. A snapshot older than this replica has no effect.
     std::vector<record_verdict> addPeerSnapshot(std::string_view inRecord);
 
-    /// Notes the first offset that the log still has.
+    /// Updates the first offset that the log still has.
     void noteLogStart(std::uint64_t inFirst, std::int64_t inNowMs);
 
     const settings_tree &tree() const { return mTree; }
 
-    /// Offset of the first record that is neither applied nor covered by the tree.
+    /// Offset of the first record that is neither applied nor covered by an adopted snapshot.
     std::uint64_t nextOffset() const { return mNext; }
 
-    /// Whether later records are known that cannot be applied, because earlier ones are missing.
+    /// Whether later records cannot be applied because earlier ones are missing.
     bool hasGap() const { return mGapFromLog > mNext || !mWaiting.empty(); }
 
-    /// Records after an offset, in order, up to a size; empty optional if they are not kept any
-    /// more, so that the peer needs a snapshot.
+    /// Returns the records after an offset, in order, up to a size; std::nullopt if they are no
+    /// longer kept, so that the peer needs a snapshot.
     std::optional<std::vector<record>> recordsAfter(std::uint64_t inOffset,
                                                     std::size_t inMaxBytes) const;
 
-    /// The tree as records to append to the log or to send to a peer.
+    /// Returns a snapshot of the tree as records for the log or for a peer.
     std::vector<std::string> snapshotRecords() const;
 
-    /// Whether this instance has to write a snapshot to the log now.
+    /// Whether this instance has to write a snapshot to the log now; see log_retention.
     bool snapshotDue(std::int64_t inNowMs, std::size_t inRank) const;
 
-    /// How long the log keeps records, according to the tree.
+    /// Retention of the log that the tree configures.
     std::chrono::seconds retention() const;
 
     const log_retention &logRetention() const { return mRetention; }
@@ -97,11 +97,11 @@
 
     settings_tree mTree;
     std::uint64_t mNext = 0;
-    /// First offset that the log had when records before it were missing; 0 without such a gap.
+    /// First offset of the log if records before it are missing; 0 without such a gap.
     std::uint64_t mGapFromLog = 0;
     std::map<std::uint64_t, std::string> mWaiting;
     std::size_t mWaitingBytes = 0;
-    /// The latest applied records without a gap, for peers.
+    /// The latest applied records, contiguous, for peers.
     std::deque<record> mHistory;
     std::size_t mHistoryBytes = 0;
     snapshot_assembler mAssembler;
--- a/corneltally/settings/settings_tree.cpp
+++ b/corneltally/settings/settings_tree.cpp
@@ -37,7 +37,7 @@
 
 core::error refusal(const std::vector<tree_problem> &inProblems)
 {
-    // The first few say enough; a change can break thousands of nodes at once.
+    // One change can make thousands of nodes invalid at once; list only the first few.
     constexpr std::size_t cMaxListed = 8;
     std::string message;
     for (std::size_t i = 0; i < std::min(inProblems.size(), cMaxListed); ++i) {
@@ -255,7 +255,7 @@
     while (at != mNodes.end() && at->first.starts_with(prefix)) {
         const std::size_t end = std::min(at->first.find('/', prefix.size()), at->first.size());
         names.push_back(at->first.substr(prefix.size(), end - prefix.size()));
-        // '\1' orders after everything below the child and before its next sibling.
+        // '\1' sorts after everything below the child and before its next sibling.
         at = mNodes.lower_bound(prefix + names.back() + '\1');
     }
     return names;
--- a/corneltally/settings/settings_tree.h
+++ b/corneltally/settings/settings_tree.h
@@ -19,9 +19,9 @@
 
 struct change;
 
-/// One version of the settings: nodes by path with typed values that children inherit. A value
-/// type; apply() gives the next version. All verdicts depend only on the tree and the change, so
-/// that every reader of the log reaches the same one.
+/// One version of the settings: nodes by path, with typed values that children inherit. It is a
+/// value type; apply() returns the next version. Whether a change is accepted depends only on the
+/// tree and the change, so that all readers of the log agree.
 class settings_tree
 {
 public:
@@ -29,13 +29,13 @@
     struct node
     {
         std::map<std::string, setting_value, std::less<>> values;
-        /// Offset of the last record that touched the node.
+        /// Offset of the last record that modified the node.
         std::uint64_t version = 0;
 
         friend bool operator==(const node &, const node &) = default;
     };
 
-    /// Orders a node directly before everything below it.
+    /// Orders paths so that a node is directly followed by everything below it.
     struct path_less
     {
         using is_transparent = void;
@@ -43,27 +43,27 @@
     };
     using node_map = std::map<std::string, node, path_less>;
 
-    /// Reads a whole tree from a file (tables are nodes) and checks it as a whole. On failure the
-    /// reason lists every problem, a line for each; outProblems gets them one by one.
+    /// Parses a whole tree from a file, whose tables are the nodes, and checks it. On failure the
+    /// error lists every problem on a line of its own; outProblems receives them individually.
     static core::result<settings_tree> sFromToml(std::string_view inText, std::string_view inFile,
                                                  std::vector<problem> *outProblems = nullptr);
 
-    /// Reads what toJson() wrote.
+    /// Parses the output of toJson().
     static core::result<settings_tree> sFromJson(std::string_view inText);
 
-    /// The next version; a change that is not valid as a whole is refused with the reason.
+    /// Returns the next version, or an error if any part of the change is invalid.
     core::result<settings_tree> apply(const change &inChange, std::uint64_t inOffset) const;
 
-    /// Same as apply() without a copy of the tree, which is left as it was on failure.
+    /// Same as apply() without a copy of the tree. On failure the tree is unchanged.
     std::optional<core::error> applyInPlace(const change &inChange, std::uint64_t inOffset);
 
     /// Offset of the last applied record.
     std::uint64_t version() const { return mVersion; }
 
-    /// Value of a key at a node, its own or inherited, and the path that it is set at.
+    /// Own or inherited value of a key at a node, and the path of the node that sets it.
     std::optional<effective_value> find(std::string_view inPath, std::string_view inKey) const;
 
-    /// Names of the nodes directly below a path, also of those without own values.
+    /// Names of the nodes directly below a path, including those without own values.
     std::vector<std::string> children(std::string_view inPath) const;
 
     bool contains(std::string_view inPath) const { return mNodes.contains(inPath); }
@@ -76,7 +76,7 @@
 
     const node_map &nodes() const { return mNodes; }
 
-    /// Canonical: equal trees give equal bytes.
+    /// Returns canonical JSON: equal trees give equal bytes.
     std::string toJson() const;
 
     friend bool operator==(const settings_tree &, const settings_tree &) = default;
@@ -93,17 +93,18 @@
 
     node_map mNodes;
     std::uint64_t mVersion = 0;
-    /// Bytes of all names and values.
+    /// Total size of all names and values.
     std::size_t mBytes = 0;
     /// Ids of the latest applied changes with their offsets.
     std::deque<std::pair<std::uint64_t, std::string>> mRecentIds;
 };
 
-/// Limits of a tree. All readers must have the same ones, since verdicts depend on them.
+/// Limits of a tree. They must be the same for all readers, since they decide whether a change is
+/// accepted.
 constexpr std::size_t cMaxTreeBytes = 8 * 1024 * 1024;
 constexpr std::size_t cMaxTreeNodes = 100'000;
-/// Ids remembered to recognise a record that was appended twice. An older repeat is still rejected
-/// by its outdated base.
+/// Number of change ids kept to detect a record that was appended twice. Duplicates of older
+/// records are rejected because of their outdated base.
 constexpr std::size_t cRecentIds = 1024;
 
 } // namespace corneltally::settings
--- a/corneltally/settings/settings_tree_toml.cpp
+++ b/corneltally/settings/settings_tree_toml.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Lines of nodes and their keys, for problems that are found later.
+/// Line numbers by path and key, for problems that are found after parsing.
 using line_map = std::map<std::pair<std::string, std::string>, int>;
 
 int lineOf(const line_map &inLines, const std::string &inPath, const std::string &inKey)
@@ -44,12 +44,12 @@
             names.push_back(entry.key);
         const std::string path = nodePath(names);
         const node_kind kind = kindOf(path);
-        // Of nested unknown tables only the outermost is reported.
+        // Report only the outermost of nested unknown tables.
         if (kind == node_kind::unknown && kindOf(parentPath(path)) == node_kind::unknown)
             continue;
         if (entry.isTable) {
             lines[{path, ""}] = entry.line;
-            // Groups without own values need no node; unknown ones need one to be reported.
+            // A group without own values needs no node. An unknown table needs one to be reported.
             const bool isGroup
                 = kind == node_kind::keys || (names.size() == 1 && kind != node_kind::unknown);
             if (!isGroup && !tree.contains(path))
--- a/corneltally/settings/snapshot_assembler.cpp
+++ b/corneltally/settings/snapshot_assembler.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Incomplete snapshots kept at the same time; each takes at most the size of a tree.
+/// Maximum number of incomplete snapshots; each takes at most the size of a tree.
 constexpr std::size_t cMaxSets = 4;
 
 } // namespace
--- a/corneltally/settings/snapshot_assembler.h
+++ b/corneltally/settings/snapshot_assembler.h
@@ -10,7 +10,7 @@
 
 namespace corneltally::settings {
 
-/// Collects the parts of snapshots until one is complete.
+/// Reassembles snapshots from their parts.
 class snapshot_assembler
 {
 public:
@@ -20,14 +20,14 @@
         std::string tree;
     };
 
-    /// Adds a part; returns the snapshot if it is now complete and its digest is correct.
+    /// Adds a part. Returns the snapshot if it is now complete and its digest matches.
     std::optional<snapshot> add(snapshot_part inPart);
 
-    /// Drops parts of snapshots up to an offset.
+    /// Drops the parts of snapshots up to and including an offset.
     void dropThrough(std::uint64_t inOffset);
 
 private:
-    /// By offset and digest; the inner map by part index.
+    /// Parts by offset and digest of the snapshot, then by part index.
     std::map<std::pair<std::uint64_t, std::string>, std::map<std::size_t, std::string>> mSets;
 };
 
--- a/corneltally/settings/snapshot_part.cpp
+++ b/corneltally/settings/snapshot_part.cpp
@@ -13,11 +13,12 @@
 using nlohmann::json;
 
 constexpr std::string_view cPrefix = R"({"snapshot":)";
-/// More parts than the largest tree needs; bounds what a malformed record can make a reader keep.
+/// More than the largest tree needs; bounds the memory that a malformed record can cause a reader
+/// to use.
 constexpr std::size_t cMaxParts = 256;
 
-/// End of a part that starts at inStart, moved back so that no UTF-8 sequence is split: each part
-/// is a JSON string of its own.
+/// Returns the end of the part that starts at inStart. It never splits a UTF-8 sequence, since each
+/// part is a separate JSON string.
 std::size_t partEnd(std::string_view inText, std::size_t inStart)
 {
     std::size_t end = std::min(inStart + cSnapshotPartBytes, inText.size());
--- a/corneltally/settings/toml_document.h
+++ b/corneltally/settings/toml_document.h
@@ -10,8 +10,8 @@
 
 namespace corneltally::settings {
 
-/// A TOML file as a flat list of its values. It keeps the TOML parser, which is slow to compile,
-/// out of all other sources.
+/// A TOML file as a flat list of its values. It confines the TOML parser, which is slow to compile,
+/// to one source file.
 class toml_document
 {
 public:
@@ -22,7 +22,7 @@
         std::vector<std::string> table;
         std::string key;
         bool isTable = false;
-        /// Empty if the value is a table or of a type that no setting has (for example a date).
+        /// Empty for a table and for a value of an unsupported type (for example a date).
         std::optional<setting_value> value;
         int line = 0;
     };
@@ -31,14 +31,14 @@
     static toml_document sParse(std::string_view inText, std::string_view inFile,
                                 std::vector<problem> &ioProblems);
 
-    /// In the order of table names and keys.
+    /// All entries, ordered by table name and key.
     const std::vector<entry> &entries() const { return mEntries; }
 
 private:
     std::vector<entry> mEntries;
 };
 
-/// Path of the node that nested tables stand for; "/" without tables.
+/// Path of the node that nested tables represent; "/" without tables.
 std::string nodePath(const std::vector<std::string> &inTables);
 
 } // namespace corneltally::settings
--- a/corneltally/settings/tree_validation.cpp
+++ b/corneltally/settings/tree_validation.cpp
@@ -72,7 +72,7 @@
 {
     const std::int64_t window = integerAt(inTree, "claim_window_s", 86'400);
     const std::int64_t retention = integerAt(inTree, "log_retention_s", 115'200);
-    // A claim must stay on the log for longer than its key is valid.
+    // An idempotency claim must stay on the log for longer than its key is valid.
     if (window * 4 > retention * 3)
         ioProblems.push_back({"/", "claim_window_s",
                               "the window of " + std::to_string(window)
--- a/corneltally/settings/tree_validation.h
+++ b/corneltally/settings/tree_validation.h
@@ -11,7 +11,7 @@
 
 class settings_tree;
 
-/// A mistake in a tree.
+/// A violation of the schema or of a reference in a tree.
 struct tree_problem
 {
     std::string path;
@@ -20,20 +20,20 @@
     std::string remedy;
 };
 
-/// Adds what is wrong with the own values of a node: unknown keys, wrong types, ranges.
+/// Reports unknown keys, wrong types and values out of range among the own values of a node.
 void checkOwnValues(const settings_tree &inTree, std::string_view inPath,
                     std::vector<tree_problem> &ioProblems);
 
-/// Adds what is missing at a node, with inheritance.
+/// Reports required keys that a node neither has nor inherits, and a missing parent account.
 void checkCompleteness(const settings_tree &inTree, std::string_view inPath,
                        std::vector<tree_problem> &ioProblems);
 
-/// Adds contradictions between nodes of the given kinds and those that refer to them: references
-/// to absent nodes, values that must be unique.
+/// Reports inconsistencies between nodes of the given kinds and the nodes that refer to them, such
+/// as references to absent nodes and duplicates of values that must be unique.
 void checkRelations(const settings_tree &inTree, const std::set<node_kind> &inTouched,
                     std::vector<tree_problem> &ioProblems);
 
-/// Checks everything.
+/// Runs all checks on all nodes.
 std::vector<tree_problem> checkTree(const settings_tree &inTree);
 
 } // namespace corneltally::settings
