--- a/corneltally/settings/change.cpp
+++ b/corneltally/settings/change.cpp
@@ -28,7 +28,7 @@
             next.value = fromJsonValue(entry["value"]);
             if (!next.value)
                 return malformed("the value of " + next.path.substr(0, 200) + " "
-                                 + next.key.substr(0, 200) + " has a type that no setting has");
+                                 + next.key.substr(0, 200) + " is of an unsupported type");
         }
         ioChange.set.push_back(std::move(next));
     }
--- a/corneltally/settings/change_file.cpp
+++ b/corneltally/settings/change_file.cpp
@@ -39,7 +39,7 @@
     } else if (inEntry.table == std::vector<std::string>{"base"}) {
         const auto *version = std::get_if<std::int64_t>(&value);
         if (version == nullptr || *version < 0)
-            return "not a version";
+            return "not a version number";
         ioChange.base[inEntry.key] = static_cast<std::uint64_t>(*version);
     } else {
         return "unknown key";
--- a/corneltally/settings/forwarding_settings.h
+++ b/corneltally/settings/forwarding_settings.h
@@ -30,8 +30,8 @@
     /// Minimum time between the last order of an engine's holder and the first order of the next
     /// holder.
     std::int64_t holderPauseMs = 3000;
-    /// Retry budget over all instances: ratio of retries to requests, its time window and the
-    /// number of retries that are allowed in addition.
+    /// Retry budget over all instances: ratio of retries to requests per window, and additional
+    /// retries per window.
     double retryRatio = 0.2;
     std::int64_t retryWindowMs = 10'000;
     double retrySlack = 0;
--- a/corneltally/settings/process_settings.cpp
+++ b/corneltally/settings/process_settings.cpp
@@ -86,7 +86,7 @@
     const auto [other, isNew] = ioCheck.addresses.emplace(inAddress, inKey);
     if (!isNew)
         ioCheck.report(inLine, inKey, inAddress + " is also the address of " + other->second,
-                       "give each its own address");
+                       "use a different address for each");
 }
 
 void readNamedAddress(file_check &ioCheck, const toml_document::entry &inEntry)
@@ -96,7 +96,7 @@
     const std::string key = qualified(inEntry.table.front(), inEntry.key);
     if (!isName(inEntry.key)) {
         const std::string kind = isPeer ? "instance" : "endpoint";
-        ioCheck.report(inEntry.line, key, "not an " + kind + " name",
+        ioCheck.report(inEntry.line, key, "not a valid " + kind + " name",
                        "use the name of an " + kind + " of the settings tree");
     }
     const auto failure = inEntry.value
@@ -177,7 +177,7 @@
         return;
     }
     if (inEntry.table.empty()) {
-        ioCheck.report(inEntry.line, inEntry.key, "a value outside of a table",
+        ioCheck.report(inEntry.line, inEntry.key, "the value is outside of a table",
                        suggestion(inEntry.key, tableNames()));
         return;
     }
--- a/corneltally/settings/settings_replica.cpp
+++ b/corneltally/settings/settings_replica.cpp
@@ -110,7 +110,7 @@
     verdict.author = parsed->author;
     if (inOffset < cFirstVersion)
         verdict.reason
-            = {core::error_kind::conflict, "the first record of the log carries no change",
+            = {core::error_kind::conflict, "the first record of the log cannot be a change",
                "publish the change again"};
     else if (auto reason = mTree.applyInPlace(*parsed, inOffset))
         verdict.reason = *std::move(reason);
--- a/corneltally/settings/settings_tree.cpp
+++ b/corneltally/settings/settings_tree.cpp
@@ -105,7 +105,7 @@
                                 + std::to_string(mBytes) + " bytes, more than "
                                 + std::to_string(cMaxTreeNodes) + " or "
                                 + std::to_string(cMaxTreeBytes),
-                            "remove nodes that are not used any more first"});
+                            "remove unused nodes first"});
     if (!problems.empty()) {
         for (auto &[path, previous] : undo)
             replaceNode(path, std::move(previous));
@@ -127,7 +127,7 @@
         return core::error{core::error_kind::conflict,
                            "change " + inChange.id + " was already applied at offset "
                                + std::to_string(offset),
-                           "nothing has to be done; use a new id for a new change"};
+                           "no action is needed; use a new id for a new change"};
     if (inChange.set.empty() && inChange.remove.empty())
         return invalid("the change modifies nothing", "add an assignment or a removal");
     std::set<std::pair<std::string_view, std::string_view>> assigned;
@@ -140,8 +140,8 @@
     }
     for (const std::string &path : inChange.remove) {
         if (path == "/" || subtree(path).empty())
-            return invalid("there is no node " + path.substr(0, 200) + " to remove",
-                           "take it out of the change");
+            return invalid("the node " + path.substr(0, 200) + " to remove does not exist",
+                           "remove it from the change");
     }
     return std::nullopt;
 }
@@ -159,7 +159,7 @@
         return core::error{core::error_kind::conflict,
                            inPath + " is at version " + std::to_string(current)
                                + ", but the change is based on " + given,
-                           "look at the newer version of " + inPath + " and publish again"};
+                           "review the newer version of " + inPath + " and publish again"};
     };
     for (const auto &[path, version] : inChange.base) {
         if (auto reason = outdated(path))
--- a/corneltally/settings/tree_validation.cpp
+++ b/corneltally/settings/tree_validation.cpp
@@ -38,7 +38,7 @@
         if (!isNew)
             ioProblems.push_back({path, std::string(inKey),
                                   "\"" + value + "\" is also set at " + other->second,
-                                  "give each its own value"});
+                                  "use a different value for each"});
     }
 }
 
@@ -57,7 +57,7 @@
             tree_problem found{inPath, group, "", ""};
             if (!inTree.contains(target)) {
                 found.message.append("\"").append(name).append("\" is not in /").append(group);
-                found.remedy = "add it there or take it off the list";
+                found.remedy = "add it there or remove it from the list";
             } else if (group == "endpoints" && textAt(inTree, target, "kind", "model") != kind) {
                 found.message.append("\"").append(name).append("\" is not of kind ").append(kind);
                 found.remedy = "list only endpoints of the route's kind";
--- a/tests/unit/settings_catalog_test.cpp
+++ b/tests/unit/settings_catalog_test.cpp
@@ -1,5 +1,5 @@
-// Guards against a catalog that keeps old values, because it shares parts with its predecessor that
-// a change did concern.
+// Guards against an index that keeps outdated values, because it shares parts with the index of the
+// previous version that the change affected.
 
 #include "corneltally/settings/catalog.h"
 #include "corneltally/settings/change.h"
@@ -92,7 +92,7 @@
 
 } // namespace
 
-TEST_CASE("an updated catalog equals a rebuilt one after every change")
+TEST_CASE("an updated index equals a rebuilt one after every change")
 {
     for (unsigned seed = 1; seed <= 20; ++seed) {
         std::mt19937 random(seed);
--- a/tests/unit/settings_commands_test.cpp
+++ b/tests/unit/settings_commands_test.cpp
@@ -1,4 +1,4 @@
-// Guards against subcommands that accept wrong input, exit with the wrong code or leave out the
+// Guards against subcommands that accept invalid input, exit with the wrong code or omit the
 // remedy.
 
 #include "apps/commands.h"
@@ -39,7 +39,7 @@
     return {code, text.str(), errors.str()};
 }
 
-/// A folder of files that is removed at the end.
+/// A temporary folder that is removed in the destructor.
 class temporary_folder
 {
 public:
@@ -65,8 +65,8 @@
     std::filesystem::path mPath;
 };
 
-/// A log and an operator address, served by a thread of their own, since the commands wait inside
-/// their own loops.
+/// Serves a log and an operator address on a separate thread, since the commands block in their own
+/// event loops.
 class test_platform
 {
 public:
@@ -148,7 +148,7 @@
     std::thread mThread;
 };
 
-/// An address that nothing listens on.
+/// Returns an address that has no listener.
 std::string closedAddress()
 {
     kernel::event_loop loop;
@@ -276,7 +276,7 @@
     CHECK(runWith({"keygen"}).text != first.text);
 }
 
-TEST_CASE("entry refuses invalid settings with code 2")
+TEST_CASE("entry rejects invalid settings with code 2")
 {
     const temporary_folder folder;
     const run_result result
@@ -285,7 +285,7 @@
     contains(result.errors, "instance.name: required key is missing");
 }
 
-TEST_CASE("entry refuses a switched-off guard without --allow-test-settings")
+TEST_CASE("entry rejects a disabled guard without --allow-test-settings")
 {
     const temporary_folder folder;
     const run_result result
@@ -319,7 +319,7 @@
     CHECK(publish({"--remove", "/adapters/tone"}).code == 0);
     CHECK(platform.appends == 4);
 
-    // Invalid changes are refused before they are appended.
+    // Invalid changes are rejected before they are appended.
     result = publish({"--set", "/accounts/harbour", "weight=heavy"});
     CHECK(result.code == 2);
     result = publish({"--set", "/accounts/harbour", "weight=-1"});
@@ -355,7 +355,7 @@
     contains(result.errors, "not published: the log does not accept connections; check");
 }
 
-TEST_CASE("status and dump ask the operator address")
+TEST_CASE("status and dump query the operator address")
 {
     const temporary_folder folder;
     test_platform platform;
--- a/tests/unit/settings_forwarding_test.cpp
+++ b/tests/unit/settings_forwarding_test.cpp
@@ -1,4 +1,4 @@
-// Guards against settings files with mistakes that are found only when the process needs them.
+// Guards against errors in settings files that are found only when the process uses the setting.
 
 #include "corneltally/settings/forwarding_settings.h"
 
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("a file of a forwarding instance is read as a whole")
+TEST_CASE("all keys of a forwarding instance's file are read")
 {
     const auto settings = forwarding_settings::sFromToml(cFile, "a.toml");
     REQUIRE(settings);
@@ -58,7 +58,7 @@
     }
 }
 
-TEST_CASE("all mistakes are named with line, key and remedy")
+TEST_CASE("all problems are reported with line, key and remedy")
 {
     std::string text = cFile;
     text.replace(text.find("stop_ms = 8000"), 14, "stop_msec = 8000");
--- a/tests/unit/settings_process_settings_test.cpp
+++ b/tests/unit/settings_process_settings_test.cpp
@@ -1,5 +1,5 @@
-// Guards against settings files that are accepted although they are wrong, and against reports that
-// make an operator correct mistakes one by one.
+// Guards against invalid settings files that are accepted, and against reports that list only one
+// problem at a time.
 
 #include "corneltally/settings/process_settings.h"
 
@@ -129,12 +129,12 @@
     CHECK(problems[0].line == 2);
 }
 
-TEST_CASE("every missing required key is named")
+TEST_CASE("every missing required key is reported")
 {
     CHECK(problemsOf("").size() == 6);
 }
 
-TEST_CASE("values of types that no setting has are refused")
+TEST_CASE("values of unsupported types are rejected")
 {
     CHECK(problemsOf(replaced(cValid, "\"entry-1\"", "1979-05-27")).size() == 1);
     CHECK(problemsOf(replaced(cValid, "= 20", "= [1, 2]")).size() == 1);
@@ -145,7 +145,7 @@
     CHECK(problemsOf("x = 1\n" + cValid).size() == 1);
 }
 
-TEST_CASE("kernel-chosen ports are not duplicates, equal ports are")
+TEST_CASE("equal addresses are duplicates unless the kernel chooses the port")
 {
     CHECK(problemsOf(cValid).empty());
     const std::string first
@@ -153,7 +153,7 @@
     CHECK(problemsOf(first).size() == 1);
 }
 
-TEST_CASE("a switched-off guard is read only if it is known, and no message suggests it")
+TEST_CASE("only known guards can be disabled, and no message suggests the table")
 {
     const auto broken
         = process_settings::sFromToml(cValid + "[test]\nbreak = \"shares\"\n", "entry.toml");
--- a/tests/unit/settings_reference_test.cpp
+++ b/tests/unit/settings_reference_test.cpp
@@ -1,5 +1,5 @@
-// Guards against a reference page that lists other keys, types, defaults or ranges than check
-// accepts.
+// Guards against a reference page whose keys, types, defaults or ranges differ from those that the
+// check command accepts.
 
 #include "corneltally/settings/process_settings.h"
 #include "corneltally/settings/settings_tree.h"
@@ -35,7 +35,7 @@
         : inText.substr(start, inText.find_last_not_of(' ') - start + 1);
 }
 
-/// Rows of the table that starts with a header, as cells without the last column (the meaning).
+/// Returns the rows below a table header as cells, without the last column (the meaning).
 std::vector<std::vector<std::string>> tableAfter(const std::string &inPage,
                                                  const std::string &inHeader)
 {
@@ -101,7 +101,7 @@
     CHECK(tableAfter(readPage(), "| nodes | key |") == expected);
 }
 
-TEST_CASE("the page gives the limits that the tree has")
+TEST_CASE("the page states the limits of the tree")
 {
     const std::string page = readPage();
     CHECK(settings::cMaxTreeNodes == 100'000);
--- a/tests/unit/settings_replica_test.cpp
+++ b/tests/unit/settings_replica_test.cpp
@@ -1,5 +1,5 @@
-// Guards against instances that disagree on the tree, miss a change, go back to an older version,
-// or let a record expire that a new instance needs.
+// Guards against instances that disagree on the tree, miss a change, return to an older version, or
+// write snapshots so late that a record that a new instance needs expires.
 
 #include "corneltally/settings/change.h"
 #include "corneltally/settings/settings_replica.h"
@@ -21,7 +21,7 @@
 
 constexpr std::int64_t cHour = 3'600'000;
 
-/// The log as the platform keeps it, with a first offset that expiry moves.
+/// A log of the platform. Expiry of records advances its first offset.
 struct test_log
 {
     struct entry
@@ -38,7 +38,7 @@
         return entries.size();
     }
 
-    /// Lets a replica read everything that is retained.
+    /// Adds all retained records to a replica.
     std::vector<record_verdict> readInto(settings_replica &ioReplica, std::uint64_t inFrom = 0,
                                          std::int64_t inNowMs = 0) const
     {
@@ -70,7 +70,7 @@
     return found ? std::get<std::string>(found->value) : std::string();
 }
 
-/// A log with changes that create, modify, race and fail.
+/// Returns a log with changes that create and modify nodes, conflict, are malformed or duplicate.
 test_log mixedLog(int inRecords)
 {
     test_log log;
@@ -79,7 +79,7 @@
     std::mt19937 random(7);
     for (int i = 0; i < inRecords; ++i) {
         const std::string adapter = "a" + std::to_string(random() % 5);
-        // Every third operator works from a view that is several records old.
+        // Every third change is based on a tree that is up to ten records old.
         const settings_tree &view = i % 3 == 0 ? outdatedView.tree() : operatorView.tree();
         std::string record
             = setVersion(view, "c" + std::to_string(i), adapter, std::to_string(i)).toJson();
@@ -97,13 +97,13 @@
 
 } // namespace
 
-TEST_CASE("two replicas reach the same verdicts and the same bytes from the same log")
+TEST_CASE("two replicas get the same results and the same bytes from the same log")
 {
     const test_log log = mixedLog(200);
     settings_replica first;
     settings_replica second;
     const auto verdicts = log.readInto(first);
-    // The second one gets the records in another order and some of them twice, as peers send them.
+    // The second replica gets the records in another order and some twice, as from peers.
     std::vector<record_verdict> others;
     for (std::uint64_t block = 0; block < 20; ++block) {
         for (std::uint64_t back = 10; back > 0; --back) {
@@ -131,7 +131,7 @@
     CHECK(first.snapshotRecords() == second.snapshotRecords());
 }
 
-TEST_CASE("of two racing operators the first on the log wins, everywhere")
+TEST_CASE("of two conflicting changes every replica accepts the first on the log")
 {
     test_log log;
     settings_replica base;
@@ -166,7 +166,7 @@
     CHECK(verdicts[1].reason.message.find("already applied at offset 1") != std::string::npos);
 }
 
-TEST_CASE("a replica that starts after expiry needs the snapshot, then equals one that read all")
+TEST_CASE("a replica that starts after records expired recovers the full tree from the snapshot")
 {
     test_log log = mixedLog(50);
     settings_replica whole;
@@ -188,7 +188,7 @@
     CHECK(late.snapshotRecords() == whole.snapshotRecords());
 }
 
-TEST_CASE("a gap without a snapshot on the log is seen and closed by a peer's tree")
+TEST_CASE("a gap without a snapshot on the log is detected and closed by a peer's tree")
 {
     test_log log = mixedLog(50);
     settings_replica whole;
@@ -215,7 +215,7 @@
     CHECK_FALSE(fresh.hasGap());
 }
 
-TEST_CASE("an older copy or older records of a peer change nothing")
+TEST_CASE("older snapshots and records of a peer have no effect")
 {
     const test_log log = mixedLog(60);
     settings_replica older;
@@ -233,7 +233,7 @@
         CHECK(newer.addPeerRecord(offset, log.entries[offset - 1].data).empty());
     CHECK(newer.tree().toJson() == before);
     CHECK(newer.nextOffset() == 61);
-    // The other direction brings the older one up to date.
+    // In the other direction the older replica catches up.
     const auto missing = newer.recordsAfter(40, 1'000'000);
     REQUIRE(missing.has_value());
     for (const auto &record : *missing)
@@ -257,7 +257,7 @@
     for (const std::string &record : whole.snapshotRecords())
         late.addPeerSnapshot(record);
     CHECK_FALSE(late.recordsAfter(10, 1'000).has_value());
-    // Records from before the adopted tree would leave out what lies between.
+    // Records from before the adopted tree would not be contiguous with later ones.
     settings_replica behind;
     for (std::uint64_t offset = 1; offset <= 5; ++offset)
         behind.addLogRecord(offset, log.entries[offset - 1].data, 0);
@@ -298,7 +298,7 @@
     CHECK_FALSE(late.hasGap());
     CHECK(late.tree().toJson() == whole.tree().toJson());
     CHECK(late.nextOffset() == offset);
-    // A snapshot of which one part expired is of no use: a new one is due at once.
+    // A snapshot with an expired part is unusable: a new one is due at once.
     const std::uint64_t oldestPart = offset - records.size();
     late.noteLogStart(oldestPart, 0);
     CHECK_FALSE(late.snapshotDue(0, 0));
@@ -330,14 +330,14 @@
     CHECK(kept->at(0).data.size() < 100);
 }
 
-TEST_CASE("a damaged snapshot is not adopted")
+TEST_CASE("a corrupted snapshot is not adopted")
 {
     const test_log log = mixedLog(20);
     settings_replica whole;
     log.readInto(whole);
     auto part = snapshot_part::sFromRecord(whole.snapshotRecords().at(0));
     REQUIRE(part.has_value());
-    // The damaged tree is well-formed and valid.
+    // The corrupted tree is well-formed and valid, but does not match the digest.
     const std::size_t at = part->data.find("\"base\"");
     REQUIRE(at != std::string::npos);
     part->data.replace(at, 6, "\"bass\"");
@@ -366,7 +366,7 @@
     log.readInto(reader);
     CHECK_FALSE(reader.snapshotDue(1'000 + half - 1, 0));
     CHECK(reader.snapshotDue(1'000 + half, 0));
-    // Instances of a higher rank leave the first ones time to write it.
+    // Instances of a higher rank wait longer, so that those of a lower rank can write it first.
     CHECK_FALSE(reader.snapshotDue(1'000 + half, 1));
     CHECK(reader.snapshotDue(1'000 + half * 14 / 10, 30));
 
@@ -389,7 +389,7 @@
     CHECK_FALSE(reader.snapshotDue(1'000 * cHour, 0));
 }
 
-TEST_CASE("a shorter retention than configured is learned from records that expire")
+TEST_CASE("a retention shorter than configured is detected from expired records")
 {
     test_log log;
     settings_replica reader;
--- a/tests/unit/settings_tree_test.cpp
+++ b/tests/unit/settings_tree_test.cpp
@@ -1,4 +1,4 @@
-// Guards against trees that differ between instances, changes that are applied in part, and wrong
+// Guards against trees that differ between instances, partially applied changes and wrong
 // inheritance.
 
 #include "corneltally/settings/catalog.h"
@@ -110,7 +110,7 @@
 
 } // namespace
 
-TEST_CASE("children inherit what they do not override, and the origin is named")
+TEST_CASE("children inherit values that they do not override, with the path that sets them")
 {
     const settings_tree tree = readTree(cTree);
     const auto rate = tree.find("/accounts/harbour/desk", "rate_tokens_per_second");
@@ -121,7 +121,7 @@
     CHECK_FALSE(tree.find("/adapters/tone", "burst_tokens").has_value());
 }
 
-TEST_CASE("children of a path are listed once, also next to names with a common prefix")
+TEST_CASE("children of a path are listed once, even if names have a common prefix")
 {
     const settings_tree tree = readTree(R"([accounts]
 rate_tokens_per_second = 1
@@ -140,7 +140,7 @@
     CHECK(tree.children("/adapters").empty());
 }
 
-TEST_CASE("the catalog holds the effective values of all entries")
+TEST_CASE("the index contains the effective values of all entries")
 {
     const settings::catalog index(readTree(cTree));
     CHECK(index.maxQueue() == 100);
@@ -175,7 +175,7 @@
     CHECK(orders->accounts == std::vector<std::string>{"harbour", "harbour/desk"});
 }
 
-TEST_CASE("the catalog uses the documented defaults")
+TEST_CASE("the index uses the documented defaults")
 {
     const settings::catalog index(readTree(R"([accounts.a]
 rate_tokens_per_second = 1
@@ -262,7 +262,7 @@
     CHECK(found == expected);
 }
 
-TEST_CASE("a change is applied whole, and its nodes get the offset as version")
+TEST_CASE("a change is applied as a whole, and its nodes get the offset as version")
 {
     const settings_tree tree = readTree(cTree);
     const auto next = tree.apply(
@@ -289,7 +289,8 @@
     CHECK(settings::catalog(*next).findAccount("harbour/desk")->weight == 1);
 }
 
-TEST_CASE("of two operators' changes to one node the second is rejected, with the newer version")
+TEST_CASE(
+    "the second of two concurrent changes to a node is rejected and the newer version reported")
 {
     const settings_tree tree = readTree(cTree);
     const change first = makeChange(tree, "first", {{"/adapters/tone", "version", "4"}});
@@ -304,7 +305,7 @@
     CHECK(next->apply(elsewhere, 11).hasValue());
 }
 
-TEST_CASE("a removal is rejected if a node below it changed, and a change below a removed node")
+TEST_CASE("a removal is rejected after a change below the node, and a change below a removed node")
 {
     const settings_tree tree = readTree(cTree);
     const change removal = makeChange(tree, "removal", {}, {"/accounts/harbour/desk"});
@@ -322,7 +323,7 @@
     CHECK_FALSE(removed->apply(issue, 7).hasValue());
 }
 
-TEST_CASE("a change id is applied once")
+TEST_CASE("a change with the same id is applied only once")
 {
     const settings_tree tree = readTree(cTree);
     const auto next = tree.apply(makeChange(tree, "c1", {{"/adapters/tone", "version", "4"}}), 10);
@@ -331,7 +332,7 @@
                  "already applied at offset 10");
 }
 
-TEST_CASE("a change that is not valid is refused whole and leaves the tree as it was")
+TEST_CASE("an invalid change is rejected as a whole and leaves the tree unchanged")
 {
     const settings_tree tree = readTree(cTree);
     const auto refused = [&](std::vector<change::assignment> inSet, const std::string &inPart) {
@@ -366,7 +367,7 @@
     checkRefused(tree, makeChange(tree, "", {{"/adapters/tone", "version", "9"}}), "no id");
 }
 
-TEST_CASE("a tree that would grow beyond its limit is refused")
+TEST_CASE("a change that exceeds the size limit of the tree is rejected")
 {
     settings_tree tree = readTree(cTree);
     std::uint64_t offset = 0;
@@ -388,7 +389,7 @@
     CHECK(reason->message.find("more than") != std::string::npos);
 }
 
-TEST_CASE("a tree and a change survive their JSON form unchanged")
+TEST_CASE("a tree and a change are unchanged after a JSON round trip")
 {
     const settings_tree tree = readTree(cTree);
     const change edit
@@ -408,7 +409,7 @@
     CHECK(copy->toJson() == next->toJson());
 }
 
-TEST_CASE("malformed JSON of trees and changes is refused")
+TEST_CASE("malformed JSON of trees and changes is rejected")
 {
     for (const std::string text :
          {"", "[]", "{", "{\"nodes\":{}}", "{\"ids\":[],\"nodes\":{\"/\":1},\"version\":1}",
@@ -422,7 +423,7 @@
         CHECK_FALSE(change::sFromJson(text).hasValue());
 }
 
-TEST_CASE("an endpoint address of the process settings replaces that of the tree")
+TEST_CASE("an endpoint address of the process settings overrides that of the tree")
 {
     const settings_tree tree = readTree(cTree);
     const settings::catalog plain(tree);
