--- a/corneltally/settings/log_retention.cpp
+++ b/corneltally/settings/log_retention.cpp
@@ -8,8 +8,8 @@
 
 /// A snapshot is due when the age of the oldest needed record reaches this fraction of the
 /// retention. The remaining half allows for outages of the log.
-constexpr double cDueAge = 0.5;
-constexpr double cDueAgePerRank = 0.05;
+constexpr double cDueAgeFraction = 0.5;
+constexpr double cDueAgeFractionPerRank = 0.05;
 constexpr std::size_t cMaxRank = 4;
 /// Maximum number of records that a new reader has to apply, so that it starts quickly.
 constexpr std::size_t cRecordsPerSnapshot = 4'000;
@@ -84,7 +84,8 @@
         return false;
     const std::int64_t configured = std::chrono::milliseconds(inRetention).count();
     const std::int64_t retention = std::min(configured, mObservedRetentionMs.value_or(configured));
-    const double dueAge = double(retention) * (cDueAge + cDueAgePerRank * double(rank));
+    const double dueAge
+        = double(retention) * (cDueAgeFraction + cDueAgeFractionPerRank * double(rank));
     return double(inNowMs - *oldest) >= dueAge;
 }
 
--- a/corneltally/settings/log_retention.h
+++ b/corneltally/settings/log_retention.h
@@ -35,7 +35,7 @@
     std::optional<std::int64_t> oldestNeeded() const;
 
     /// Last record that the latest complete snapshot on the log covers; 0 if there is none.
-    std::uint64_t snapshotOffset() const { return mSnapshot ? mSnapshot->covers : 0; }
+    std::uint64_t snapshotOffset() const { return mSnapshot ? mSnapshot->lastOffset : 0; }
 
 private:
     struct written_part
@@ -45,7 +45,7 @@
     };
     struct written_snapshot
     {
-        std::uint64_t covers = 0;
+        std::uint64_t lastOffset = 0;
         /// The part that expires first.
         written_part oldestPart;
     };
--- a/corneltally/settings/settings_replica.cpp
+++ b/corneltally/settings/settings_replica.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// Limits on records that wait for earlier ones and on records kept for peers.
-constexpr std::size_t cMaxWaitingBytes = 16 * 1024 * 1024;
+constexpr std::size_t cMaxPendingBytes = 16 * 1024 * 1024;
 constexpr std::size_t cMaxHistoryBytes = 1024 * 1024;
 constexpr std::size_t cMaxHistoryRecords = 4'096;
 /// Longer changes are rejected, since they would not fit into a message between instances.
@@ -21,7 +21,7 @@
 constexpr std::uint64_t cFirstVersion = 1;
 
 /// Returns the data of a record, or a malformed placeholder for a change that is too long.
-std::string_view withinLimit(std::string_view inData)
+std::string_view limitedData(std::string_view inData)
 {
     return inData.size() > cMaxChangeBytes ? std::string_view("too long") : inData;
 }
@@ -34,17 +34,17 @@
 {
     mRetention.noteRecord(inOffset, inTimeMs);
     if (!snapshot_part::sIsSnapshot(inData))
-        return add(inOffset, withinLimit(inData));
+        return add(inOffset, limitedData(inData));
     std::vector<record_verdict> verdicts;
     if (auto part = snapshot_part::sFromRecord(inData)) {
         mRetention.notePart(*part, inOffset, inTimeMs);
-        if (part->offset >= mNext && !isNext(inOffset)) {
+        if (part->offset >= mNextOffset && !isNext(inOffset)) {
             if (const auto complete = mAssembler.add(*std::move(part)))
                 adopt(*complete);
         }
     }
     verdicts = add(inOffset, cSnapshotPlaceholder);
-    applyWaiting(verdicts);
+    applyPending(verdicts);
     return verdicts;
 }
 
@@ -52,26 +52,26 @@
                                                             std::string_view inData)
 {
     return add(inOffset,
-               snapshot_part::sIsSnapshot(inData) ? cSnapshotPlaceholder : withinLimit(inData));
+               snapshot_part::sIsSnapshot(inData) ? cSnapshotPlaceholder : limitedData(inData));
 }
 
 std::vector<record_verdict> settings_replica::addPeerSnapshot(std::string_view inRecord)
 {
     std::vector<record_verdict> verdicts;
     auto part = snapshot_part::sFromRecord(inRecord);
-    if (!part || part->offset < mNext)
+    if (!part || part->offset < mNextOffset)
         return verdicts;
     if (const auto complete = mAssembler.add(*std::move(part)))
         adopt(*complete);
-    applyWaiting(verdicts);
+    applyPending(verdicts);
     return verdicts;
 }
 
 void settings_replica::noteLogStart(std::uint64_t inFirst, std::int64_t inNowMs)
 {
     mRetention.noteLogStart(inFirst, inNowMs);
-    if (inFirst > std::max(mNext, cFirstVersion))
-        mGapFromLog = inFirst;
+    if (inFirst > std::max(mNextOffset, cFirstVersion))
+        mGapEnd = inFirst;
 }
 
 std::vector<record_verdict> settings_replica::add(std::uint64_t inOffset, std::string_view inData)
@@ -79,22 +79,22 @@
     std::vector<record_verdict> verdicts;
     if (isNext(inOffset)) {
         verdicts.push_back(applyNext(inOffset, inData));
-        applyWaiting(verdicts);
-    } else if (inOffset > mNext) {
-        keepWaiting(inOffset, inData);
+        applyPending(verdicts);
+    } else if (inOffset > mNextOffset) {
+        keepPending(inOffset, inData);
     }
     return verdicts;
 }
 
 bool settings_replica::isNext(std::uint64_t inOffset) const
 {
-    return inOffset == mNext || (mNext == 0 && inOffset == cFirstVersion);
+    return inOffset == mNextOffset || (mNextOffset == 0 && inOffset == cFirstVersion);
 }
 
 record_verdict settings_replica::applyNext(std::uint64_t inOffset, std::string_view inData)
 {
     assert(isNext(inOffset));
-    mNext = inOffset + 1;
+    mNextOffset = inOffset + 1;
     keepHistory(inOffset, inData);
     record_verdict verdict{.offset = inOffset};
     if (snapshot_part::sIsSnapshot(inData)) {
@@ -119,15 +119,15 @@
     return verdict;
 }
 
-void settings_replica::keepWaiting(std::uint64_t inOffset, std::string_view inData)
+void settings_replica::keepPending(std::uint64_t inOffset, std::string_view inData)
 {
-    const auto [entry, isNew] = mWaiting.emplace(inOffset, inData);
+    const auto [entry, isNew] = mPending.emplace(inOffset, inData);
     if (isNew)
-        mWaitingBytes += inData.size();
+        mPendingBytes += inData.size();
     // A snapshot most likely covers the lowest offsets.
-    while (mWaitingBytes > cMaxWaitingBytes) {
-        mWaitingBytes -= mWaiting.begin()->second.size();
-        mWaiting.erase(mWaiting.begin());
+    while (mPendingBytes > cMaxPendingBytes) {
+        mPendingBytes -= mPending.begin()->second.size();
+        mPending.erase(mPending.begin());
     }
 }
 
@@ -143,36 +143,36 @@
 
 void settings_replica::adopt(const snapshot_assembler::snapshot &inSnapshot)
 {
-    if (inSnapshot.offset < mNext)
+    if (inSnapshot.offset < mNextOffset)
         return;
     core::result<settings_tree> tree = settings_tree::sFromJson(inSnapshot.tree);
     if (!tree || tree->version() > inSnapshot.offset || tree->version() < mTree.version())
         return;
     mTree = std::move(tree).value();
-    mNext = inSnapshot.offset + 1;
+    mNextOffset = inSnapshot.offset + 1;
     mHistory.clear();
     mHistoryBytes = 0;
     mAssembler.dropThrough(inSnapshot.offset);
 }
 
-void settings_replica::applyWaiting(std::vector<record_verdict> &ioVerdicts)
+void settings_replica::applyPending(std::vector<record_verdict> &ioVerdicts)
 {
-    while (!mWaiting.empty()
-           && (mWaiting.begin()->first < mNext || isNext(mWaiting.begin()->first))) {
-        auto entry = mWaiting.extract(mWaiting.begin());
-        mWaitingBytes -= entry.mapped().size();
-        if (entry.key() >= mNext)
+    while (!mPending.empty()
+           && (mPending.begin()->first < mNextOffset || isNext(mPending.begin()->first))) {
+        auto entry = mPending.extract(mPending.begin());
+        mPendingBytes -= entry.mapped().size();
+        if (entry.key() >= mNextOffset)
             ioVerdicts.push_back(applyNext(entry.key(), entry.mapped()));
     }
-    if (mGapFromLog <= mNext)
-        mGapFromLog = 0;
+    if (mGapEnd <= mNextOffset)
+        mGapEnd = 0;
 }
 
 std::optional<std::vector<settings_replica::record>>
 settings_replica::recordsAfter(std::uint64_t inOffset, std::size_t inMaxBytes) const
 {
     std::vector<record> records;
-    if (inOffset + 1 >= mNext)
+    if (inOffset + 1 >= mNextOffset)
         return records;
     if (mHistory.empty() || mHistory.front().offset > std::max(inOffset + 1, cFirstVersion))
         return std::nullopt;
@@ -190,9 +190,9 @@
 std::vector<std::string> settings_replica::snapshotRecords() const
 {
     std::vector<std::string> records;
-    if (mNext == 0)
+    if (mNextOffset == 0)
         return records;
-    const auto parts = snapshot_part::sSplit(mNext - 1, mTree.toJson());
+    const auto parts = snapshot_part::sSplit(mNextOffset - 1, mTree.toJson());
     records.reserve(parts.size());
     for (const snapshot_part &part : parts)
         records.push_back(part.toRecord());
--- a/corneltally/settings/settings_replica.h
+++ b/corneltally/settings/settings_replica.h
@@ -65,10 +65,10 @@
     const settings_tree &tree() const { return mTree; }
 
     /// Offset of the first record that is neither applied nor covered by an adopted snapshot.
-    std::uint64_t nextOffset() const { return mNext; }
+    std::uint64_t nextOffset() const { return mNextOffset; }
 
     /// Whether later records cannot be applied because earlier ones are missing.
-    bool hasGap() const { return mGapFromLog > mNext || !mWaiting.empty(); }
+    bool hasGap() const { return mGapEnd > mNextOffset || !mPending.empty(); }
 
     /// Returns the records after an offset, in order, up to a size; std::nullopt if they are no
     /// longer kept, so that the peer needs a snapshot.
@@ -89,18 +89,18 @@
 private:
     std::vector<record_verdict> add(std::uint64_t inOffset, std::string_view inData);
     record_verdict applyNext(std::uint64_t inOffset, std::string_view inData);
-    void keepWaiting(std::uint64_t inOffset, std::string_view inData);
+    void keepPending(std::uint64_t inOffset, std::string_view inData);
     void keepHistory(std::uint64_t inOffset, std::string_view inData);
     void adopt(const snapshot_assembler::snapshot &inSnapshot);
-    void applyWaiting(std::vector<record_verdict> &ioVerdicts);
+    void applyPending(std::vector<record_verdict> &ioVerdicts);
     bool isNext(std::uint64_t inOffset) const;
 
     settings_tree mTree;
-    std::uint64_t mNext = 0;
+    std::uint64_t mNextOffset = 0;
     /// First offset of the log if records before it are missing; 0 without such a gap.
-    std::uint64_t mGapFromLog = 0;
-    std::map<std::uint64_t, std::string> mWaiting;
-    std::size_t mWaitingBytes = 0;
+    std::uint64_t mGapEnd = 0;
+    std::map<std::uint64_t, std::string> mPending;
+    std::size_t mPendingBytes = 0;
     /// The latest applied records, contiguous, for peers.
     std::deque<record> mHistory;
     std::size_t mHistoryBytes = 0;
--- a/corneltally/settings/snapshot_assembler.h
+++ b/corneltally/settings/snapshot_assembler.h
@@ -28,7 +28,7 @@
 
 private:
     /// Parts by offset and digest of the snapshot, then by part index.
-    std::map<std::pair<std::uint64_t, std::string>, std::map<std::size_t, std::string>> mSets;
+    std::map<std::pair<std::uint64_t, std::string>, std::map<std::size_t, std::string>> mIncomplete;
 };
 
 } // namespace corneltally::settings
