--- a/apps/check_command.cpp
+++ b/apps/check_command.cpp
@@ -33,7 +33,7 @@
     if (!text)
         return std::nullopt;
     std::vector<problem> problems;
-    if (settings::forwarding_settings::sIsOne(*text)) {
+    if (settings::forwarding_settings::sIsForwardingFile(*text)) {
         settings::forwarding_settings::sFromToml(*text, inPath, &problems);
         ioProblems.insert(ioProblems.end(), problems.begin(), problems.end());
         return std::nullopt;
--- a/corneltally/settings/catalog.cpp
+++ b/corneltally/settings/catalog.cpp
@@ -125,18 +125,18 @@
 
 } // namespace
 
-struct catalog::part_stamps
+struct catalog::part_versions
 {
-    stamp accounts;
-    stamp routes;
-    stamp endpoints;
-    stamp instances;
-    std::array<stamp, cAdapterShards> adapters;
+    part_version accounts;
+    part_version routes;
+    part_version endpoints;
+    part_version instances;
+    std::array<part_version, cAdapterShards> adapters;
     /// Shard and name of every adapter, so that rebuilding changed shards needs no second pass over
     /// the tree.
     std::vector<std::pair<std::size_t, std::string_view>> adapterNames;
 
-    explicit part_stamps(const settings_tree &inTree)
+    explicit part_versions(const settings_tree &inTree)
     {
         const std::uint64_t root = inTree.nodeVersion("/");
         for (const auto &[group, target] :
@@ -145,13 +145,13 @@
             target->group = inTree.nodeVersion(group);
             target->root = root;
         }
-        for (stamp &shard : adapters) {
+        for (part_version &shard : adapters) {
             shard.group = inTree.nodeVersion("/adapters");
             shard.root = root;
         }
         adapterNames.reserve(inTree.nodes().size());
         for (const auto &[path, node] : inTree.nodes()) {
-            if (stamp *target = find(path); target != nullptr) {
+            if (part_version *target = find(path); target != nullptr) {
                 ++target->nodes;
                 target->latest = std::max(target->latest, node.version);
             }
@@ -159,7 +159,7 @@
     }
 
 private:
-    stamp *find(std::string_view inPath)
+    part_version *find(std::string_view inPath)
     {
         if (inPath.starts_with(cAdaptersPrefix)) {
             const std::string_view name = inPath.substr(cAdaptersPrefix.size());
@@ -204,21 +204,21 @@
         mInstances = inPrevious->mInstances;
     }
     mVersion = inTree.version();
-    const part_stamps stamps(inTree);
+    const part_versions versions(inTree);
     const bool isFirst = inPrevious == nullptr;
-    if (isFirst || mAccounts.version != stamps.accounts)
+    if (isFirst || mAccounts.version != versions.accounts)
         buildAccounts(inTree);
-    if (isFirst || mRoutesByPath.version != stamps.routes)
+    if (isFirst || mRoutesByPath.version != versions.routes)
         buildRoutes(inTree);
-    if (isFirst || mEndpoints.version != stamps.endpoints)
+    if (isFirst || mEndpoints.version != versions.endpoints)
         buildEndpoints(inTree, inEndpointAddresses);
-    if (isFirst || mInstances.version != stamps.instances)
+    if (isFirst || mInstances.version != versions.instances)
         buildInstances(inTree);
-    mAccounts.version = stamps.accounts;
-    mRoutesByPath.version = stamps.routes;
-    mEndpoints.version = stamps.endpoints;
-    mInstances.version = stamps.instances;
-    buildAdapters(inTree, stamps);
+    mAccounts.version = versions.accounts;
+    mRoutesByPath.version = versions.routes;
+    mEndpoints.version = versions.endpoints;
+    mInstances.version = versions.instances;
+    buildAdapters(inTree, versions);
     readRoot(inTree);
 }
 
@@ -247,19 +247,19 @@
     mKeysByDigest = std::move(keys);
 }
 
-void catalog::buildAdapters(const settings_tree &inTree, const part_stamps &inStamps)
+void catalog::buildAdapters(const settings_tree &inTree, const part_versions &inVersions)
 {
     std::array<std::shared_ptr<name_index<adapter_view>>, cAdapterShards> changed;
     bool anyChanged = false;
     for (std::size_t shard = 0; shard < cAdapterShards; ++shard) {
-        if (mAdapters[shard].version == inStamps.adapters[shard])
+        if (mAdapters[shard].version == inVersions.adapters[shard])
             continue;
         changed[shard] = std::make_shared<name_index<adapter_view>>();
         anyChanged = true;
     }
     if (!anyChanged)
         return;
-    for (const auto &[shard, name] : inStamps.adapterNames) {
+    for (const auto &[shard, name] : inVersions.adapterNames) {
         if (!changed[shard])
             continue;
         const node_reader node(inTree, std::string(cAdaptersPrefix).append(name));
@@ -268,7 +268,7 @@
     }
     for (std::size_t shard = 0; shard < cAdapterShards; ++shard) {
         if (changed[shard])
-            mAdapters[shard] = {inStamps.adapters[shard], std::move(changed[shard])};
+            mAdapters[shard] = {inVersions.adapters[shard], std::move(changed[shard])};
     }
 }
 
--- a/corneltally/settings/catalog.h
+++ b/corneltally/settings/catalog.h
@@ -100,29 +100,29 @@
 
     /// Version of a part. It changes whenever a node of the part, or a node that the part inherits
     /// from, changes.
-    struct stamp
+    struct part_version
     {
         std::uint64_t nodes = 0;
         std::uint64_t latest = 0;
         std::uint64_t group = 0;
         std::uint64_t root = 0;
 
-        friend bool operator==(const stamp &, const stamp &) = default;
+        friend bool operator==(const part_version &, const part_version &) = default;
     };
     /// Entries of a part of the tree. They are immutable, so that versions can share them.
     template <typename Entries>
     struct part
     {
-        stamp version;
+        part_version version;
         std::shared_ptr<const Entries> entries = std::make_shared<const Entries>();
     };
-    struct part_stamps;
+    struct part_versions;
 
     static constexpr std::size_t cAdapterShards = 256;
     static std::size_t sShardOf(std::string_view inAdapter);
 
     void buildAccounts(const settings_tree &inTree);
-    void buildAdapters(const settings_tree &inTree, const part_stamps &inStamps);
+    void buildAdapters(const settings_tree &inTree, const part_versions &inVersions);
     void buildRoutes(const settings_tree &inTree);
     void buildEndpoints(const settings_tree &inTree, const address_map &inAddresses);
     void buildInstances(const settings_tree &inTree);
--- a/corneltally/settings/change_file.cpp
+++ b/corneltally/settings/change_file.cpp
@@ -13,7 +13,7 @@
 /// Approximate JSON size at which changesFor() starts another change.
 constexpr std::size_t cChangeBytes = 256 * 1024;
 
-std::string shortLabel(const toml_document::entry &inEntry)
+std::string qualifiedKey(const toml_document::entry &inEntry)
 {
     std::string text;
     for (const std::string &table : inEntry.table)
@@ -54,16 +54,16 @@
     for (const toml_document::entry &entry : document.entries()) {
         if (entry.isTable)
             continue;
-        std::string mistake;
+        std::string message;
         if (entry.table.empty() || entry.table.front() != "set")
-            mistake = readMember(entry, result);
+            message = readMember(entry, result);
         else if (!entry.value)
-            mistake = "wrong type";
+            message = "wrong type";
         else
             result.set.push_back(
                 {nodePath({entry.table.begin() + 1, entry.table.end()}), entry.key, entry.value});
-        if (!mistake.empty())
-            ioProblems.push_back({std::string(inFile), entry.line, shortLabel(entry), mistake,
+        if (!message.empty())
+            ioProblems.push_back({std::string(inFile), entry.line, qualifiedKey(entry), message,
                                   "use [set.<path>] tables with values, and remove, author, id or "
                                   "[base]"});
     }
--- a/corneltally/settings/forwarding_settings.cpp
+++ b/corneltally/settings/forwarding_settings.cpp
@@ -91,7 +91,7 @@
     return keys;
 }
 
-bool forwarding_settings::sIsOne(std::string_view inText)
+bool forwarding_settings::sIsForwardingFile(std::string_view inText)
 {
     return inText.starts_with("[store]") || inText.find("\n[store]") != std::string_view::npos;
 }
--- a/corneltally/settings/forwarding_settings.h
+++ b/corneltally/settings/forwarding_settings.h
@@ -46,7 +46,7 @@
                                                        std::vector<problem> *outProblems = nullptr);
 
     /// Whether a file belongs to a forwarding instance, recognised by its [store] table.
-    static bool sIsOne(std::string_view inText);
+    static bool sIsForwardingFile(std::string_view inText);
 
     /// A key of the file with its table, for the reference page.
     struct table_key
--- a/corneltally/settings/key_definition.cpp
+++ b/corneltally/settings/key_definition.cpp
@@ -84,7 +84,7 @@
     return std::nullopt;
 }
 
-bool fits(const key_definition &inDefinition, const std::string &inText)
+bool isValidText(const key_definition &inDefinition, const std::string &inText)
 {
     if (!inDefinition.choices.empty())
         return isChoice(inDefinition.choices, inText);
@@ -181,7 +181,7 @@
     if (text == nullptr || inDefinition.type == value_type::boolean
         || inDefinition.type == value_type::name_list)
         return value_problem{"wrong type", expectation(inDefinition)};
-    if (!fits(inDefinition, *text))
+    if (!isValidText(inDefinition, *text))
         return value_problem{"\"" + text->substr(0, 80) + "\" is not a valid value",
                              expectation(inDefinition)};
     return std::nullopt;
--- a/corneltally/settings/settings_tree.cpp
+++ b/corneltally/settings/settings_tree.cpp
@@ -35,7 +35,7 @@
     return bytes;
 }
 
-core::error refusal(const std::vector<tree_problem> &inProblems)
+core::error combinedError(const std::vector<tree_problem> &inProblems)
 {
     // One change can make thousands of nodes invalid at once; list only the first few.
     constexpr std::size_t cMaxListed = 8;
@@ -86,9 +86,9 @@
     modify(inChange, inOffset, undo);
 
     std::vector<tree_problem> problems;
-    std::set<node_kind> touched;
+    std::set<node_kind> changedKinds;
     for (const auto &[path, previous] : undo) {
-        touched.insert(kindOf(path));
+        changedKinds.insert(kindOf(path));
         checkOwnValues(*this, path, problems);
     }
     if (problems.empty()) {
@@ -97,7 +97,7 @@
             std::ranges::copy(subtree(path), std::inserter(affected, affected.end()));
         for (const std::string &path : affected)
             checkCompleteness(*this, path, problems);
-        checkRelations(*this, touched, problems);
+        checkRelations(*this, changedKinds, problems);
     }
     if (problems.empty() && (mBytes > cMaxTreeBytes || mNodes.size() > cMaxTreeNodes))
         problems.push_back({"/", "",
@@ -109,7 +109,7 @@
     if (!problems.empty()) {
         for (auto &[path, previous] : undo)
             replaceNode(path, std::move(previous));
-        return refusal(problems);
+        return combinedError(problems);
     }
     mVersion = inOffset;
     rememberId(inChange.id, inOffset);
--- a/corneltally/settings/tree_validation.cpp
+++ b/corneltally/settings/tree_validation.cpp
@@ -134,24 +134,25 @@
                               "set a key of the account in the same change"});
 }
 
-void checkRelations(const settings_tree &inTree, const std::set<node_kind> &inTouched,
+void checkRelations(const settings_tree &inTree, const std::set<node_kind> &inChangedKinds,
                     std::vector<tree_problem> &ioProblems)
 {
-    const auto touched = [&](node_kind inKind) {
-        return inTouched.contains(inKind) || inTouched.contains(node_kind::root)
-            || inTouched.contains(parentKind(inKind));
+    const auto isAffected = [&](node_kind inKind) {
+        return inChangedKinds.contains(inKind) || inChangedKinds.contains(node_kind::root)
+            || inChangedKinds.contains(parentKind(inKind));
     };
-    if (inTouched.contains(node_kind::root))
+    if (inChangedKinds.contains(node_kind::root))
         checkClaimWindow(inTree, ioProblems);
-    if (touched(node_kind::key))
+    if (isAffected(node_kind::key))
         checkUnique(inTree, "/accounts", node_kind::key, "digest", ioProblems);
-    if (touched(node_kind::endpoint))
+    if (isAffected(node_kind::endpoint))
         checkUnique(inTree, "/endpoints", node_kind::endpoint, "address", ioProblems);
-    if (touched(node_kind::instance))
+    if (isAffected(node_kind::instance))
         checkUnique(inTree, "/instances", node_kind::instance, "peer_address", ioProblems);
-    if (touched(node_kind::route))
+    if (isAffected(node_kind::route))
         checkUnique(inTree, "/routes", node_kind::route, "path", ioProblems);
-    if (touched(node_kind::route) || touched(node_kind::endpoint) || touched(node_kind::account)) {
+    if (isAffected(node_kind::route) || isAffected(node_kind::endpoint)
+        || isAffected(node_kind::account)) {
         for (const std::string &name : inTree.children("/routes"))
             checkRouteReferences(inTree, "/routes/" + name, ioProblems);
     }
--- a/corneltally/settings/tree_validation.h
+++ b/corneltally/settings/tree_validation.h
@@ -30,7 +30,7 @@
 
 /// Reports inconsistencies between nodes of the given kinds and the nodes that refer to them, such
 /// as references to absent nodes and duplicates of values that must be unique.
-void checkRelations(const settings_tree &inTree, const std::set<node_kind> &inTouched,
+void checkRelations(const settings_tree &inTree, const std::set<node_kind> &inChangedKinds,
                     std::vector<tree_problem> &ioProblems);
 
 /// Runs all checks on all nodes.
--- a/tests/unit/settings_forwarding_test.cpp
+++ b/tests/unit/settings_forwarding_test.cpp
@@ -41,8 +41,8 @@
     CHECK(settings->machine == "10.1.0.25");
     CHECK(settings->retryRatio == 1);
     CHECK(settings->holderPauseMs == 3000);
-    CHECK(forwarding_settings::sIsOne(cFile));
-    CHECK_FALSE(forwarding_settings::sIsOne("[platform]\naddress = \"1.1.1.1:1\"\n"));
+    CHECK(forwarding_settings::sIsForwardingFile(cFile));
+    CHECK_FALSE(forwarding_settings::sIsForwardingFile("[platform]\naddress = \"1.1.1.1:1\"\n"));
 }
 
 TEST_CASE("each key is on the reference page")
