--- a/bench/slopes_bench.cpp
+++ b/bench/slopes_bench.cpp
@@ -9,8 +9,8 @@
 #include "corneltally/limits/fleet_share.h"
 #include "corneltally/membership/peer_table.h"
 #include "corneltally/scheduling/route_choice.h"
-#include "corneltally/settings/catalog.h"
 #include "corneltally/settings/change.h"
+#include "corneltally/settings/settings_index.h"
 #include "corneltally/settings/settings_replica.h"
 
 #include <array>
--- a/corneltally/entry/admission_service.cpp
+++ b/corneltally/entry/admission_service.cpp
@@ -1,7 +1,7 @@
 #include "corneltally/entry/admission_service.h"
 
 #include "corneltally/core/json_log.h"
-#include "corneltally/settings/catalog.h"
+#include "corneltally/settings/settings_index.h"
 
 #include <algorithm>
 #include <cmath>
--- a/corneltally/entry/caller_request.cpp
+++ b/corneltally/entry/caller_request.cpp
@@ -1,7 +1,7 @@
 #include "corneltally/entry/caller_request.h"
 
 #include "corneltally/core/digest.h"
-#include "corneltally/settings/catalog.h"
+#include "corneltally/settings/settings_index.h"
 
 #include <algorithm>
 #include <array>
--- a/corneltally/entry/dispatch_service.cpp
+++ b/corneltally/entry/dispatch_service.cpp
@@ -4,7 +4,7 @@
 #include "corneltally/entry/dispatch_rules.h"
 #include "corneltally/entry/settings_messages.h"
 #include "corneltally/kernel/service_registry.h"
-#include "corneltally/settings/catalog.h"
+#include "corneltally/settings/settings_index.h"
 
 #include <algorithm>
 #include <utility>
--- a/corneltally/entry/endpoint_directory.cpp
+++ b/corneltally/entry/endpoint_directory.cpp
@@ -2,7 +2,7 @@
 
 #include "corneltally/core/json_log.h"
 #include "corneltally/entry/dispatch_rules.h"
-#include "corneltally/settings/catalog.h"
+#include "corneltally/settings/settings_index.h"
 
 #include <algorithm>
 #include <utility>
--- a/corneltally/entry/front_end_service.cpp
+++ b/corneltally/entry/front_end_service.cpp
@@ -9,7 +9,7 @@
 #include "corneltally/entry/peers_messages.h"
 #include "corneltally/http/exchange.h"
 #include "corneltally/kernel/service_registry.h"
-#include "corneltally/settings/catalog.h"
+#include "corneltally/settings/settings_index.h"
 
 #include <algorithm>
 #include <charconv>
--- a/corneltally/entry/operator_api_service.cpp
+++ b/corneltally/entry/operator_api_service.cpp
@@ -6,7 +6,7 @@
 #include "corneltally/http/exchange.h"
 #include "corneltally/kernel/service_registry.h"
 #include "corneltally/limits/fleet_share.h"
-#include "corneltally/settings/catalog.h"
+#include "corneltally/settings/settings_index.h"
 
 #include <utility>
 
--- a/corneltally/entry/owner_service.cpp
+++ b/corneltally/entry/owner_service.cpp
@@ -2,7 +2,7 @@
 
 #include "corneltally/entry/drain_messages.h"
 #include "corneltally/kernel/service_registry.h"
-#include "corneltally/settings/catalog.h"
+#include "corneltally/settings/settings_index.h"
 
 #include <algorithm>
 #include <utility>
--- a/corneltally/entry/peers_service.cpp
+++ b/corneltally/entry/peers_service.cpp
@@ -3,7 +3,7 @@
 #include "corneltally/core/json_log.h"
 #include "corneltally/kernel/service_registry.h"
 #include "corneltally/peer/frame.h"
-#include "corneltally/settings/catalog.h"
+#include "corneltally/settings/settings_index.h"
 
 #include <algorithm>
 #include <utility>
--- a/corneltally/entry/settings_sync_service.h
+++ b/corneltally/entry/settings_sync_service.h
@@ -10,7 +10,7 @@
 #include "corneltally/kernel/timer.h"
 #include "corneltally/platform/log_client.h"
 #include "corneltally/platform/log_service.h"
-#include "corneltally/settings/catalog.h"
+#include "corneltally/settings/settings_index.h"
 #include "corneltally/settings/settings_replica.h"
 
 #include <algorithm>
--- a/corneltally/settings/catalog.cpp
+++ b/corneltally/settings/settings_index.cpp
@@ -1,4 +1,4 @@
-#include "corneltally/settings/catalog.h"
+#include "corneltally/settings/settings_index.h"
 
 #include "corneltally/core/digest.h"
 #include "corneltally/settings/node_kind.h"
--- a/tests/integration/owner_service_test.cpp
+++ b/tests/integration/owner_service_test.cpp
@@ -6,7 +6,7 @@
 #include "corneltally/entry/owner_service.h"
 #include "corneltally/kernel/event_loop.h"
 #include "corneltally/kernel/service_registry.h"
-#include "corneltally/settings/catalog.h"
+#include "corneltally/settings/settings_index.h"
 #include "corneltally/settings/settings_tree.h"
 #include "standins/child_process.h"
 #include "standins/http_probe.h"
--- a/tests/unit/entry_admission_service_test.cpp
+++ b/tests/unit/entry_admission_service_test.cpp
@@ -4,7 +4,7 @@
 
 #include "corneltally/entry/admission_service.h"
 #include "corneltally/kernel/event_loop.h"
-#include "corneltally/settings/catalog.h"
+#include "corneltally/settings/settings_index.h"
 #include "corneltally/settings/settings_tree.h"
 
 #include <functional>
--- a/tests/unit/entry_caller_request_test.cpp
+++ b/tests/unit/entry_caller_request_test.cpp
@@ -5,7 +5,7 @@
 #include "corneltally/core/digest.h"
 #include "corneltally/entry/caller_answer.h"
 #include "corneltally/entry/caller_request.h"
-#include "corneltally/settings/catalog.h"
+#include "corneltally/settings/settings_index.h"
 #include "corneltally/settings/settings_tree.h"
 
 #include <catch2/catch.hpp>
--- a/tests/unit/entry_datapath_test.cpp
+++ b/tests/unit/entry_datapath_test.cpp
@@ -15,7 +15,7 @@
 #include "corneltally/kernel/event_loop.h"
 #include "corneltally/kernel/service_registry.h"
 #include "corneltally/kernel/timer.h"
-#include "corneltally/settings/catalog.h"
+#include "corneltally/settings/settings_index.h"
 #include "corneltally/settings/settings_tree.h"
 
 #include <optional>
--- a/tests/unit/entry_peers_test.cpp
+++ b/tests/unit/entry_peers_test.cpp
@@ -9,7 +9,7 @@
 #include "corneltally/kernel/timer.h"
 #include "corneltally/peer/connection.h"
 #include "corneltally/peer/listener.h"
-#include "corneltally/settings/catalog.h"
+#include "corneltally/settings/settings_index.h"
 #include "corneltally/settings/settings_tree.h"
 
 #include <optional>
--- a/tests/unit/settings_catalog_test.cpp
+++ b/tests/unit/settings_catalog_test.cpp
@@ -1,8 +1,8 @@
 // Guards against an index that keeps outdated values, because it shares parts with the index of the
 // previous version that the change affected.
 
-#include "corneltally/settings/catalog.h"
 #include "corneltally/settings/change.h"
+#include "corneltally/settings/settings_index.h"
 #include "corneltally/settings/settings_tree.h"
 
 #include <random>
--- a/tests/unit/settings_tree_test.cpp
+++ b/tests/unit/settings_tree_test.cpp
@@ -1,8 +1,8 @@
 // Guards against trees that differ between instances, partially applied changes and wrong
 // inheritance.
 
-#include "corneltally/settings/catalog.h"
 #include "corneltally/settings/change.h"
+#include "corneltally/settings/settings_index.h"
 #include "corneltally/settings/settings_tree.h"
 
 #include <catch2/catch.hpp>
