--- a/bench/slopes_bench.cpp
+++ b/bench/slopes_bench.cpp
@@ -110,7 +110,7 @@
         auto tree = std::make_unique<settings::settings_tree>(buildTree(adapters));
         malloc_trim(0);
         const double withTree = heapBytes();
-        auto catalog = std::make_unique<settings::catalog>(*tree);
+        auto catalog = std::make_unique<settings::settings_index>(*tree);
         treeBytes.add(adapters, withTree - before);
         catalogBytes.add(adapters, heapBytes() - withTree);
         snapshotBytes.add(adapters, static_cast<double>(tree->toJson().size()));
@@ -122,14 +122,14 @@
                           ++sequence;
                       }));
         catalogTime.add(adapters, microseconds(3, [&] {
-                            catalog = std::make_unique<settings::catalog>(*tree);
+                            catalog = std::make_unique<settings::settings_index>(*tree);
                         }));
         updateTime.add(adapters, microseconds(20, [&] {
                            const auto offset = static_cast<std::uint64_t>(sequence);
                            (void)tree->applyInPlace(versionChange(*tree, sequence), offset);
                            ++sequence;
-                           catalog = std::make_unique<settings::catalog>(
-                               *tree, settings::catalog::address_map(), catalog.get());
+                           catalog = std::make_unique<settings::settings_index>(
+                               *tree, settings::settings_index::address_map(), catalog.get());
                        }));
         lookupTime.add(adapters, microseconds(10'000, [&] {
                            if (catalog->findAdapter("adapter-77") == nullptr)
--- a/corneltally/entry/admission_service.cpp
+++ b/corneltally/entry/admission_service.cpp
@@ -117,7 +117,7 @@
 
 void admission_service::applyCatalog(const catalog_changed &inChange)
 {
-    const settings::catalog &catalog = *inChange.catalog;
+    const settings::settings_index &catalog = *inChange.catalog;
     const core::time_point now = core::boot_clock::now();
     const auto instances = static_cast<double>(catalog.instances().size());
     const bool isListed = catalog.findInstance(mInstance) != nullptr;
--- a/corneltally/entry/caller_answer.cpp
+++ b/corneltally/entry/caller_answer.cpp
@@ -8,7 +8,7 @@
 
 namespace corneltally::entry {
 
-std::string modelListBody(const settings::catalog &inCatalog)
+std::string modelListBody(const settings::settings_index &inCatalog)
 {
     std::vector<const settings::adapter_view *> adapters;
     adapters.reserve(inCatalog.adapterCount());
--- a/corneltally/entry/caller_request.cpp
+++ b/corneltally/entry/caller_request.cpp
@@ -151,7 +151,7 @@
 }
 
 /// Resolves the model name of a body, "adapter" or "adapter@version", to an adapter.
-core::result<settings::adapter_view> findAdapter(const settings::catalog &inCatalog,
+core::result<settings::adapter_view> findAdapter(const settings::settings_index &inCatalog,
                                                  const json &inBody)
 {
     const auto found = inBody.find("model");
@@ -174,7 +174,7 @@
     return *adapter;
 }
 
-core::result<run> buildModelRun(const settings::catalog &inCatalog,
+core::result<run> buildModelRun(const settings::settings_index &inCatalog,
                                 const received_request &inRequest, run inBase)
 {
     if (inRequest.method != "POST")
@@ -246,7 +246,7 @@
     return value;
 }
 
-core::result<caller_identity> identifyCaller(const settings::catalog &inCatalog,
+core::result<caller_identity> identifyCaller(const settings::settings_index &inCatalog,
                                              const settings::route_view &inRoute,
                                              const http::header_list &inHeaders)
 {
@@ -268,8 +268,9 @@
     return caller_identity{.account = found->account, .keyDigest = std::move(digest)};
 }
 
-core::result<run> buildRun(const settings::catalog &inCatalog, const settings::route_view &inRoute,
-                           const received_request &inRequest, std::size_t inMaxBodyBytes)
+core::result<run> buildRun(const settings::settings_index &inCatalog,
+                           const settings::route_view &inRoute, const received_request &inRequest,
+                           std::size_t inMaxBodyBytes)
 {
     const std::size_t limit = std::min(inMaxBodyBytes, cMaxCallerBodyBytes);
     if (inRequest.body.size() > limit)
--- a/corneltally/entry/claims_service.h
+++ b/corneltally/entry/claims_service.h
@@ -107,7 +107,7 @@
                                     std::uint64_t inIncarnation)
     : mRegistry(inRegistry)
     , mLog(std::move(inLog))
-    , mCoordinator(std::move(inInstance), inIncarnation, settings::catalog().claimWindow())
+    , mCoordinator(std::move(inInstance), inIncarnation, settings::settings_index().claimWindow())
     , mRetryDelay(claims_detail::cMinRetryDelay)
     , mRandom(std::random_device()())
     , mRetryTimer(inRegistry.loop(), [this] { readStream(); })
--- a/corneltally/entry/endpoint_directory.cpp
+++ b/corneltally/entry/endpoint_directory.cpp
@@ -14,7 +14,7 @@
     : mInstance(std::move(inInstance))
 { }
 
-void endpoint_directory::setCatalog(std::shared_ptr<const settings::catalog> inCatalog)
+void endpoint_directory::setCatalog(std::shared_ptr<const settings::settings_index> inCatalog)
 {
     mCatalog = std::move(inCatalog);
     // Entries with outstanding requests are kept until these end.
--- a/corneltally/entry/front_end_service.h
+++ b/corneltally/entry/front_end_service.h
@@ -113,7 +113,7 @@
     front_end_options mOptions;
     http::server mServer;
     kernel::timer mSweep;
-    std::shared_ptr<const settings::catalog> mCatalog;
+    std::shared_ptr<const settings::settings_index> mCatalog;
     std::unordered_map<std::string, std::unique_ptr<caller_run>> mRuns;
     std::vector<unsent_answer> mUnsentAnswers;
     /// Requests that arrived after a pause and wait until the settings are confirmed to be current.
--- a/corneltally/entry/owner_service.h
+++ b/corneltally/entry/owner_service.h
@@ -87,7 +87,7 @@
 
     kernel::service_registry &mRegistry;
     owner_options mOptions;
-    std::shared_ptr<const settings::catalog> mCatalog;
+    std::shared_ptr<const settings::settings_index> mCatalog;
     peers_changed mPeers;
     std::map<std::string, owned_entry, std::less<>> mOwned;
     /// Highest fencing number that peers published for each endpoint.
--- a/corneltally/entry/settings_messages.h
+++ b/corneltally/entry/settings_messages.h
@@ -8,7 +8,7 @@
 #include <string>
 
 namespace corneltally::settings {
-class catalog;
+class settings_index;
 }
 
 namespace corneltally::entry {
@@ -17,7 +17,7 @@
 /// services; shared since the settings are immutable and large.
 struct catalog_changed
 {
-    std::shared_ptr<const settings::catalog> catalog;
+    std::shared_ptr<const settings::settings_index> catalog;
 };
 
 /// Names of the processes that the platform reports as leaving. The settings_sync service marks the
--- a/corneltally/entry/settings_sync_service.h
+++ b/corneltally/entry/settings_sync_service.h
@@ -72,7 +72,7 @@
     core::duration mRetryDelay;
     std::optional<std::uint64_t> mPublished;
     /// The current settings; their successor shares the unchanged parts.
-    std::shared_ptr<const settings::catalog> mCatalog;
+    std::shared_ptr<const settings::settings_index> mCatalog;
     std::optional<core::time_point> mConfirmed;
     /// When the log itself last confirmed the tree.
     std::optional<core::time_point> mLogConfirmed;
@@ -353,8 +353,8 @@
         return;
     mPublished = tree.version();
     core::logEvent(core::log_level::info, "settings_in_force", {{"version", tree.version()}});
-    mCatalog = std::make_shared<const settings::catalog>(tree, mOptions.endpointAddresses,
-                                                         mCatalog.get());
+    mCatalog = std::make_shared<const settings::settings_index>(tree, mOptions.endpointAddresses,
+                                                                mCatalog.get());
     broadcastSettings();
 }
 
@@ -366,7 +366,7 @@
     mRegistry.broadcast(catalog_changed{
         mLeaving.empty()
             ? mCatalog
-            : std::make_shared<const settings::catalog>(mCatalog->withLeaving(mLeaving))});
+            : std::make_shared<const settings::settings_index>(mCatalog->withLeaving(mLeaving))});
 }
 
 template <platform::log_service Log>
--- a/corneltally/settings/settings_index.cpp
+++ b/corneltally/settings/settings_index.cpp
@@ -125,7 +125,7 @@
 
 } // namespace
 
-struct catalog::part_versions
+struct settings_index::part_versions
 {
     part_version accounts;
     part_version routes;
@@ -177,13 +177,13 @@
     }
 };
 
-catalog::catalog()
+settings_index::settings_index()
     : mKeysByDigest(std::make_shared<const name_index<key_view>>())
 { }
 
-catalog catalog::withLeaving(const std::set<std::string, std::less<>> &inNames) const
+settings_index settings_index::withLeaving(const std::set<std::string, std::less<>> &inNames) const
 {
-    catalog copy = *this;
+    settings_index copy = *this;
     auto endpoints = std::make_shared<ordered_index<endpoint_view>>(*mEndpoints.entries);
     for (auto &[name, view] : *endpoints)
         view.leaving = view.leaving || inNames.contains(name);
@@ -191,9 +191,9 @@
     return copy;
 }
 
-catalog::catalog(const settings_tree &inTree, const address_map &inEndpointAddresses,
-                 const catalog *inPrevious)
-    : catalog()
+settings_index::settings_index(const settings_tree &inTree, const address_map &inEndpointAddresses,
+                               const settings_index *inPrevious)
+    : settings_index()
 {
     if (inPrevious != nullptr) {
         mAdapters = inPrevious->mAdapters;
@@ -222,12 +222,12 @@
     readRoot(inTree);
 }
 
-std::size_t catalog::sShardOf(std::string_view inAdapter)
+std::size_t settings_index::sShardOf(std::string_view inAdapter)
 {
     return core::stableHash(inAdapter) % cAdapterShards;
 }
 
-void catalog::buildAccounts(const settings_tree &inTree)
+void settings_index::buildAccounts(const settings_tree &inTree)
 {
     auto accounts = std::make_shared<ordered_index<account_view>>();
     auto keys = std::make_shared<name_index<key_view>>();
@@ -247,7 +247,7 @@
     mKeysByDigest = std::move(keys);
 }
 
-void catalog::buildAdapters(const settings_tree &inTree, const part_versions &inVersions)
+void settings_index::buildAdapters(const settings_tree &inTree, const part_versions &inVersions)
 {
     std::array<std::shared_ptr<name_index<adapter_view>>, cAdapterShards> changed;
     bool anyChanged = false;
@@ -272,7 +272,7 @@
     }
 }
 
-void catalog::buildRoutes(const settings_tree &inTree)
+void settings_index::buildRoutes(const settings_tree &inTree)
 {
     auto routes = std::make_shared<name_index<route_view>>();
     for (const std::string &name : inTree.children("/routes")) {
@@ -282,7 +282,7 @@
     mRoutesByPath.entries = std::move(routes);
 }
 
-void catalog::buildEndpoints(const settings_tree &inTree, const address_map &inAddresses)
+void settings_index::buildEndpoints(const settings_tree &inTree, const address_map &inAddresses)
 {
     auto endpoints = std::make_shared<ordered_index<endpoint_view>>();
     for (const std::string &name : inTree.children("/endpoints"))
@@ -294,7 +294,7 @@
     mEndpoints.entries = std::move(endpoints);
 }
 
-void catalog::buildInstances(const settings_tree &inTree)
+void settings_index::buildInstances(const settings_tree &inTree)
 {
     auto instances = std::make_shared<ordered_index<instance_view>>();
     for (const std::string &name : inTree.children("/instances")) {
@@ -305,7 +305,7 @@
     mInstances.entries = std::move(instances);
 }
 
-void catalog::readRoot(const settings_tree &inTree)
+void settings_index::readRoot(const settings_tree &inTree)
 {
     const node_reader root(inTree, "/");
     root.readNumber("weight_loads_per_second", mWeightLoadsPerSecond);
@@ -315,7 +315,7 @@
     root.readInteger("claim_window_s", mClaimWindow);
 }
 
-std::size_t catalog::adapterCount() const
+std::size_t settings_index::adapterCount() const
 {
     std::size_t count = 0;
     for (const auto &shard : mAdapters)
@@ -323,38 +323,38 @@
     return count;
 }
 
-const key_view *catalog::findKey(std::string_view inDigest) const
+const key_view *settings_index::findKey(std::string_view inDigest) const
 {
     const auto found = mKeysByDigest->find(inDigest);
     return found == mKeysByDigest->end() ? nullptr : &found->second;
 }
 
-const account_view *catalog::findAccount(std::string_view inName) const
+const account_view *settings_index::findAccount(std::string_view inName) const
 {
     const auto found = mAccounts.entries->find(inName);
     return found == mAccounts.entries->end() ? nullptr : &found->second;
 }
 
-const adapter_view *catalog::findAdapter(std::string_view inName) const
+const adapter_view *settings_index::findAdapter(std::string_view inName) const
 {
     const auto &entries = *mAdapters[sShardOf(inName)].entries;
     const auto found = entries.find(inName);
     return found == entries.end() ? nullptr : &found->second;
 }
 
-const route_view *catalog::findRoute(std::string_view inPath) const
+const route_view *settings_index::findRoute(std::string_view inPath) const
 {
     const auto found = mRoutesByPath.entries->find(inPath);
     return found == mRoutesByPath.entries->end() ? nullptr : &found->second;
 }
 
-const endpoint_view *catalog::findEndpoint(std::string_view inName) const
+const endpoint_view *settings_index::findEndpoint(std::string_view inName) const
 {
     const auto found = mEndpoints.entries->find(inName);
     return found == mEndpoints.entries->end() ? nullptr : &found->second;
 }
 
-const instance_view *catalog::findInstance(std::string_view inName) const
+const instance_view *settings_index::findInstance(std::string_view inName) const
 {
     const auto found = mInstances.entries->find(inName);
     return found == mInstances.entries->end() ? nullptr : &found->second;
--- a/corneltally/settings/settings_index.h
+++ b/corneltally/settings/settings_index.h
@@ -24,21 +24,22 @@
 /// Typed index of one version of the settings tree, built once per version. Look-ups on the request
 /// path take constant time. Parts that a change does not affect are shared with the index of the
 /// previous version: rebuilding 21,000 adapters would block the event loop for 0.1 s.
-class catalog
+class settings_index
 {
 public:
     /// Creates an empty index of version 0.
-    catalog();
+    settings_index();
     /// Addresses by endpoint name; they override those of the tree.
     using address_map = std::map<std::string, std::string, std::less<>>;
 
     /// Shares the unchanged parts of inPrevious, which must index an earlier version of the same
     /// tree and be built with the same addresses.
-    explicit catalog(const settings_tree &inTree, const address_map &inEndpointAddresses = {},
-                     const catalog *inPrevious = nullptr);
+    explicit settings_index(const settings_tree &inTree,
+                            const address_map &inEndpointAddresses = {},
+                            const settings_index *inPrevious = nullptr);
 
     /// Returns a copy in which the endpoints with the given names are marked as leaving.
-    catalog withLeaving(const std::set<std::string, std::less<>> &inNames) const;
+    settings_index withLeaving(const std::set<std::string, std::less<>> &inNames) const;
 
     /// Offset of the last log record that is part of the tree.
     std::uint64_t version() const { return mVersion; }
--- a/tests/integration/owner_service_test.cpp
+++ b/tests/integration/owner_service_test.cpp
@@ -36,8 +36,8 @@
     return process;
 }
 
-std::shared_ptr<const settings::catalog> catalogOf(const std::string &inEngineAddress,
-                                                   bool inChecksFencing, bool inLeaving = false)
+std::shared_ptr<const settings::settings_index>
+catalogOf(const std::string &inEngineAddress, bool inChecksFencing, bool inLeaving = false)
 {
     std::string text = R"(
 [instances.entry-1]
@@ -62,7 +62,7 @@
     const auto tree = settings::settings_tree::sFromToml(text, "test");
     if (!tree)
         FAIL(tree.reason().message);
-    return std::make_shared<const settings::catalog>(*tree);
+    return std::make_shared<const settings::settings_index>(*tree);
 }
 
 /// An instance with the owner service and recorders in place of the others.
--- a/tests/unit/entry_caller_request_test.cpp
+++ b/tests/unit/entry_caller_request_test.cpp
@@ -18,7 +18,7 @@
 const std::string cKey = "key-of-harbour-0001";
 const std::string cWithdrawnKey = "key-of-harbour-0002";
 
-settings::catalog makeCatalog()
+settings::settings_index makeCatalog()
 {
     const std::string text = R"(
 [accounts]
@@ -52,7 +52,7 @@
     const auto tree = settings::settings_tree::sFromToml(text, "tree.toml");
     INFO((tree ? std::string() : tree.reason().message));
     REQUIRE(tree.hasValue());
-    return settings::catalog(*tree);
+    return settings::settings_index(*tree);
 }
 
 const http::header_list cHeaders{{"Authorization", "Bearer " + cKey}};
@@ -61,7 +61,7 @@
                         const http::header_list &inHeaders = cHeaders,
                         const std::string &inMethod = "POST")
 {
-    static const settings::catalog sCatalog = makeCatalog();
+    static const settings::settings_index sCatalog = makeCatalog();
     return buildRun(sCatalog, *sCatalog.findRoute(inPath), {inMethod, inPath, inBody, inHeaders});
 }
 
@@ -76,7 +76,7 @@
 
 TEST_CASE("a key identifies its client account until it is withdrawn")
 {
-    const settings::catalog catalog = makeCatalog();
+    const settings::settings_index catalog = makeCatalog();
     const settings::route_view &route = *catalog.findRoute("/v1/completions");
     const auto identity = identifyCaller(catalog, route, cHeaders);
     REQUIRE(identity.hasValue());
@@ -95,7 +95,7 @@
 
 TEST_CASE("a route refuses client accounts that it does not list, and open routes need no key")
 {
-    const settings::catalog catalog = makeCatalog();
+    const settings::settings_index catalog = makeCatalog();
     const auto refused = identifyCaller(catalog, *catalog.findRoute("/orders"), cHeaders);
     REQUIRE_FALSE(refused.hasValue());
     CHECK(refused.reason().kind == core::error_kind::forbidden);
--- a/tests/unit/entry_peers_test.cpp
+++ b/tests/unit/entry_peers_test.cpp
@@ -100,7 +100,8 @@
             + std::to_string(listener.port()) + "\"\n";
         const auto tree = settings::settings_tree::sFromToml(text, "tree.toml");
         REQUIRE(tree.hasValue());
-        registry.broadcast(catalog_changed{std::make_shared<const settings::catalog>(*tree)});
+        registry.broadcast(
+            catalog_changed{std::make_shared<const settings::settings_index>(*tree)});
         registry.startAll();
     }
 
--- a/tests/unit/settings_catalog_test.cpp
+++ b/tests/unit/settings_catalog_test.cpp
@@ -30,7 +30,7 @@
     return *tree;
 }
 
-std::map<std::string, adapter_view> adaptersOf(const catalog &inCatalog)
+std::map<std::string, adapter_view> adaptersOf(const settings_index &inCatalog)
 {
     std::map<std::string, adapter_view> adapters;
     inCatalog.forEachAdapter(
@@ -38,7 +38,7 @@
     return adapters;
 }
 
-void checkSame(const catalog &inUpdated, const catalog &inRebuilt)
+void checkSame(const settings_index &inUpdated, const settings_index &inRebuilt)
 {
     CHECK(inUpdated.version() == inRebuilt.version());
     CHECK(adaptersOf(inUpdated) == adaptersOf(inRebuilt));
@@ -97,7 +97,7 @@
     for (unsigned seed = 1; seed <= 20; ++seed) {
         std::mt19937 random(seed);
         settings_tree tree = startTree();
-        auto updated = std::make_unique<catalog>(tree);
+        auto updated = std::make_unique<settings_index>(tree);
         int accepted = 0;
         for (int sequence = 1; sequence <= 120; ++sequence) {
             change next = randomChange(random, sequence);
@@ -108,8 +108,9 @@
             if (tree.applyInPlace(next, tree.version() + 1))
                 continue;
             ++accepted;
-            updated = std::make_unique<catalog>(tree, catalog::address_map(), updated.get());
-            checkSame(*updated, catalog(tree));
+            updated = std::make_unique<settings_index>(tree, settings_index::address_map(),
+                                                       updated.get());
+            checkSame(*updated, settings_index(tree));
         }
         CHECK(accepted > 60);
     }
--- a/tests/unit/settings_sync_test.cpp
+++ b/tests/unit/settings_sync_test.cpp
@@ -111,7 +111,7 @@
     bool peersReachable = true;
     kernel::service_registry registry;
     sync_service *sync = nullptr;
-    std::shared_ptr<const settings::catalog> catalog;
+    std::shared_ptr<const settings::settings_index> catalog;
     std::vector<std::uint64_t> versions;
     std::optional<core::time_point> confirmed;
 
--- a/tests/unit/settings_tree_test.cpp
+++ b/tests/unit/settings_tree_test.cpp
@@ -142,7 +142,7 @@
 
 TEST_CASE("the index contains the effective values of all entries")
 {
-    const settings::catalog index(readTree(cTree));
+    const settings::settings_index index(readTree(cTree));
     CHECK(index.maxQueue() == 100);
     CHECK(index.weightLoadsPerSecond() == 2.5);
     CHECK(index.weightLoadsInFlight() == 8);
@@ -177,7 +177,7 @@
 
 TEST_CASE("the index uses the documented defaults")
 {
-    const settings::catalog index(readTree(R"([accounts.a]
+    const settings::settings_index index(readTree(R"([accounts.a]
 rate_tokens_per_second = 1
 burst_tokens = 1
 [endpoints.e]
@@ -212,7 +212,7 @@
 TEST_CASE("withdrawing an account or a key group withdraws the keys below it")
 {
     settings_tree tree = readTree(cTree);
-    REQUIRE_FALSE(settings::catalog(tree).findKey(cDigest)->withdrawn);
+    REQUIRE_FALSE(settings::settings_index(tree).findKey(cDigest)->withdrawn);
     SECTION("account")
     {
         const auto reason = tree.applyInPlace(
@@ -225,7 +225,7 @@
             makeChange(tree, "c1", {{"/accounts/harbour/keys", "withdrawn", true}}), 1);
         REQUIRE_FALSE(reason.has_value());
     }
-    CHECK(settings::catalog(tree).findKey(cDigest)->withdrawn);
+    CHECK(settings::settings_index(tree).findKey(cDigest)->withdrawn);
 }
 
 TEST_CASE("all problems of a tree file are reported in one run with their lines")
@@ -276,8 +276,8 @@
     CHECK(next->nodeVersion("/adapters/tone") == 7);
     CHECK(next->nodeVersion("/accounts/harbour") == 0);
     CHECK_FALSE(next->contains("/accounts/harbour/desk/keys/k2"));
-    CHECK(settings::catalog(*next).findAdapter("tone")->version == "4");
-    CHECK(settings::catalog(tree).findAdapter("tone")->version == "3");
+    CHECK(settings::settings_index(*next).findAdapter("tone")->version == "4");
+    CHECK(settings::settings_index(tree).findAdapter("tone")->version == "3");
 }
 
 TEST_CASE("removing a key makes the inherited value apply again")
@@ -286,7 +286,7 @@
     const auto next = tree.apply(
         makeChange(tree, "c1", {{"/accounts/harbour/desk", "weight", std::nullopt}}), 3);
     REQUIRE(next.hasValue());
-    CHECK(settings::catalog(*next).findAccount("harbour/desk")->weight == 1);
+    CHECK(settings::settings_index(*next).findAccount("harbour/desk")->weight == 1);
 }
 
 TEST_CASE(
@@ -426,8 +426,8 @@
 TEST_CASE("an endpoint address of the process settings overrides that of the tree")
 {
     const settings_tree tree = readTree(cTree);
-    const settings::catalog plain(tree);
-    const settings::catalog replaced(
+    const settings::settings_index plain(tree);
+    const settings::settings_index replaced(
         tree, {{"engine-1", "127.0.0.1:9901"}, {"engine-9", "127.0.0.1:9909"}});
     CHECK(plain.findEndpoint("engine-1")->address == "127.0.0.1:9001");
     CHECK(replaced.findEndpoint("engine-1")->address == "127.0.0.1:9901");
