--- a/corneltally/entry/admission_service.cpp
+++ b/corneltally/entry/admission_service.cpp
@@ -50,8 +50,8 @@
         name(), [this](const admission_cancel &inCancel) { receiveCancel(inCancel); });
     mRegistry.handle<charge_settle>(
         name(), [this](const charge_settle &inSettle) { receiveSettle(inSettle); });
-    mRegistry.handle<catalog_changed>(
-        name(), [this](const catalog_changed &inChange) { applyCatalog(inChange); });
+    mRegistry.handle<settings_changed>(
+        name(), [this](const settings_changed &inChange) { applyCatalog(inChange); });
     mRegistry.handle<peers_changed>(
         name(), [this](const peers_changed &inChange) { applyPeers(inChange); });
     mRegistry.handle<process_paused>(name(), [this](const process_paused &) { applyPause(); });
@@ -115,7 +115,7 @@
         poll(found, now);
 }
 
-void admission_service::applyCatalog(const catalog_changed &inChange)
+void admission_service::applyCatalog(const settings_changed &inChange)
 {
     const settings::settings_index &catalog = *inChange.catalog;
     const core::time_point now = core::boot_clock::now();
--- a/corneltally/entry/admission_service.h
+++ b/corneltally/entry/admission_service.h
@@ -48,7 +48,7 @@
     void receiveAdmissionRequest(const admission_request &inRequest);
     void receiveCancel(const admission_cancel &inCancel);
     void receiveSettle(const charge_settle &inSettle);
-    void applyCatalog(const catalog_changed &inChange);
+    void applyCatalog(const settings_changed &inChange);
     void applyPeers(const peers_changed &inChange);
     void applyPause();
     void receiveLoanRequest(const peer_received<loan_request> &inRequest);
--- a/corneltally/entry/claims_service.h
+++ b/corneltally/entry/claims_service.h
@@ -135,7 +135,7 @@
         mCoordinator.release(inRelease.key, inRelease.claimId, core::boot_clock::now());
         poll();
     });
-    mRegistry.handle<catalog_changed>(name(), [this](const catalog_changed &inChange) {
+    mRegistry.handle<settings_changed>(name(), [this](const settings_changed &inChange) {
         mCoordinator.setWindow(inChange.catalog->claimWindow());
     });
     mRegistry.handle<process_paused>(name(), [this](const process_paused &) { applyPause(); });
--- a/corneltally/entry/dispatch_service.cpp
+++ b/corneltally/entry/dispatch_service.cpp
@@ -74,7 +74,7 @@
         name(), [this](const peer_received<endpoint_status> &inReceived) {
             mDirectory.updateStatus(inReceived.message, core::boot_clock::now());
         });
-    mRegistry.handle<catalog_changed>(name(), [this](const catalog_changed &inChange) {
+    mRegistry.handle<settings_changed>(name(), [this](const settings_changed &inChange) {
         mDirectory.setCatalog(inChange.catalog);
     });
     mRegistry.handle<peers_changed>(
--- a/corneltally/entry/front_end_service.cpp
+++ b/corneltally/entry/front_end_service.cpp
@@ -72,8 +72,8 @@
           serverLimits(mOptions.limits))
     , mSweep(inRegistry.loop(), [this] { sweep(); })
 {
-    mRegistry.handle<catalog_changed>(
-        name(), [this](const catalog_changed &inChange) { applyCatalog(inChange); });
+    mRegistry.handle<settings_changed>(
+        name(), [this](const settings_changed &inChange) { applyCatalog(inChange); });
     mRegistry.handle<settings_confirmed>(name(), [this](const settings_confirmed &inConfirmed) {
         mSettingsConfirmedAt
             = std::max(inConfirmed.at, mSettingsConfirmedAt.value_or(inConfirmed.at));
@@ -521,7 +521,7 @@
     mUnsentAnswers.push_back({inCaller, inCaller->pendingBytes(), core::boot_clock::now()});
 }
 
-void front_end_service::applyCatalog(const catalog_changed &inChange)
+void front_end_service::applyCatalog(const settings_changed &inChange)
 {
     if (mOptions.keepFirstCatalog && mCatalog)
         return;
--- a/corneltally/entry/front_end_service.h
+++ b/corneltally/entry/front_end_service.h
@@ -101,7 +101,7 @@
     void complete(caller_run &ioRun, std::string_view inOutcome, std::string_view inEndpoint);
     void trackUnsentAnswer(const exchange_pointer &inCaller);
 
-    void applyCatalog(const catalog_changed &inChange);
+    void applyCatalog(const settings_changed &inChange);
     void sweep();
     void closeStalledCallers(core::time_point inNow);
     void serveHeldRequests();
--- a/corneltally/entry/operator_api_service.cpp
+++ b/corneltally/entry/operator_api_service.cpp
@@ -22,8 +22,8 @@
     , mServer(inRegistry.loop(),
               [this](const std::shared_ptr<http::exchange> &inExchange) { serve(*inExchange); })
 {
-    mRegistry.handle<catalog_changed>(
-        name(), [this](const catalog_changed &inChange) { mCatalog = inChange.catalog; });
+    mRegistry.handle<settings_changed>(
+        name(), [this](const settings_changed &inChange) { mCatalog = inChange.catalog; });
     mRegistry.handle<drain_started>(name(), [this](const drain_started &) { mDraining = true; });
 }
 
--- a/corneltally/entry/owner_service.cpp
+++ b/corneltally/entry/owner_service.cpp
@@ -44,8 +44,8 @@
 
 void owner_service::handleMessages()
 {
-    mRegistry.handle<catalog_changed>(
-        name(), [this](const catalog_changed &inChange) { applyCatalog(inChange); });
+    mRegistry.handle<settings_changed>(
+        name(), [this](const settings_changed &inChange) { applyCatalog(inChange); });
     mRegistry.handle<peers_changed>(
         name(), [this](const peers_changed &inChange) { applyPeers(inChange); });
     mRegistry.handle<peer_connected>(name(), [this](const peer_connected &inConnected) {
@@ -83,7 +83,7 @@
     mTick.startRepeating(cTickPeriod);
 }
 
-void owner_service::applyCatalog(const catalog_changed &inChange)
+void owner_service::applyCatalog(const settings_changed &inChange)
 {
     mCatalog = inChange.catalog;
     for (auto &[endpoint, entry] : mOwned) {
--- a/corneltally/entry/owner_service.h
+++ b/corneltally/entry/owner_service.h
@@ -63,7 +63,7 @@
     };
 
     void handleMessages();
-    void applyCatalog(const catalog_changed &inChange);
+    void applyCatalog(const settings_changed &inChange);
     void applyPeers(const peers_changed &inChange);
     void startDrain();
     void submit(const run_submit &inSubmit);
--- a/corneltally/entry/peers_service.cpp
+++ b/corneltally/entry/peers_service.cpp
@@ -62,8 +62,8 @@
     , mTick(inRegistry.loop(), [this] { tick(); })
 {
     mRegistry.handle<peer_send>(name(), [this](const peer_send &inSend) { send(inSend); });
-    mRegistry.handle<catalog_changed>(
-        name(), [this](const catalog_changed &inChange) { applyCatalog(inChange); });
+    mRegistry.handle<settings_changed>(
+        name(), [this](const settings_changed &inChange) { applyCatalog(inChange); });
     mRegistry.handle<process_paused>(name(), [this](const process_paused &) {
         // Silence during a pause of this process does not show that peers are down.
         mViewHoldUntil = core::boot_clock::now() + cViewHold;
@@ -98,7 +98,7 @@
     mTick.startRepeating(cTickPeriod);
 }
 
-void peers_service::applyCatalog(const catalog_changed &inChange)
+void peers_service::applyCatalog(const settings_changed &inChange)
 {
     mSettingsVersion = inChange.catalog->version();
     std::vector<std::string> names;
--- a/corneltally/entry/settings_messages.h
+++ b/corneltally/entry/settings_messages.h
@@ -15,7 +15,7 @@
 
 /// A new version of the settings tree or of the leaving endpoints is in effect. Broadcast to all
 /// services; shared since the settings are immutable and large.
-struct catalog_changed
+struct settings_changed
 {
     std::shared_ptr<const settings::settings_index> catalog;
 };
--- a/corneltally/entry/settings_sync_service.h
+++ b/corneltally/entry/settings_sync_service.h
@@ -363,7 +363,7 @@
 {
     if (!mCatalog)
         return;
-    mRegistry.broadcast(catalog_changed{
+    mRegistry.broadcast(settings_changed{
         mLeaving.empty()
             ? mCatalog
             : std::make_shared<const settings::settings_index>(mCatalog->withLeaving(mLeaving))});
--- a/tests/unit/entry_admission_service_test.cpp
+++ b/tests/unit/entry_admission_service_test.cpp
@@ -78,7 +78,7 @@
         const auto tree = settings::settings_tree::sFromToml(inText, "tree.toml");
         REQUIRE(tree.hasValue());
         registry.broadcast(
-            entry::catalog_changed{std::make_shared<const settings::settings_index>(*tree)});
+            entry::settings_changed{std::make_shared<const settings::settings_index>(*tree)});
     }
     void admit(const std::string &inId, double inTokens)
     {
--- a/tests/unit/entry_datapath_test.cpp
+++ b/tests/unit/entry_datapath_test.cpp
@@ -229,7 +229,7 @@
         const auto catalog = std::make_shared<const settings::settings_index>(*tree);
         for (instance *target : {north.get(), south.get()}) {
             if (target != nullptr)
-                target->registry->broadcast(catalog_changed{catalog});
+                target->registry->broadcast(settings_changed{catalog});
         }
     }
 
--- a/tests/unit/entry_peers_test.cpp
+++ b/tests/unit/entry_peers_test.cpp
@@ -101,7 +101,7 @@
         const auto tree = settings::settings_tree::sFromToml(text, "tree.toml");
         REQUIRE(tree.hasValue());
         registry.broadcast(
-            catalog_changed{std::make_shared<const settings::settings_index>(*tree)});
+            settings_changed{std::make_shared<const settings::settings_index>(*tree)});
         registry.startAll();
     }
 
--- a/tests/unit/settings_sync_test.cpp
+++ b/tests/unit/settings_sync_test.cpp
@@ -126,7 +126,7 @@
         options.snapshotCheckPeriod = 20ms;
         sync = &registry.add(std::make_unique<sync_service>(
             registry, std::make_unique<mock_log>(inLoop, inLog, logReachable), options));
-        registry.handle<entry::catalog_changed>("observer", [this](const auto &inChange) {
+        registry.handle<entry::settings_changed>("observer", [this](const auto &inChange) {
             catalog = inChange.catalog;
             versions.push_back(catalog->version());
         });
