--- a/tests/unit/settings_catalog_test.cpp
+++ b/tests/unit/settings_catalog_test.cpp
@@ -30,10 +30,10 @@
     return *tree;
 }
 
-std::map<std::string, adapter_view> adaptersOf(const settings_index &inCatalog)
+std::map<std::string, adapter_view> adaptersOf(const settings_index &inIndex)
 {
     std::map<std::string, adapter_view> adapters;
-    inCatalog.forEachAdapter(
+    inIndex.forEachAdapter(
         [&](const adapter_view &inAdapter) { adapters.emplace(inAdapter.name, inAdapter); });
     return adapters;
 }
