--- a/corneltally/settings/settings_replica.h
+++ b/corneltally/settings/settings_replica.h
@@ -24,7 +24,7 @@
     snapshot,
 };
 
-/// Result of applying one log record. It is the same for every reader.
+/// Verdict on one log record. It is the same for every reader.
 struct record_verdict
 {
     std::uint64_t offset = 0;
@@ -49,7 +49,7 @@
     };
 
     /// Adds a record that was read from the log. Keeps it if it cannot be applied yet. Returns the
-    /// results of all records that were applied, including earlier kept ones.
+    /// verdicts on all records that were applied, including earlier kept ones.
     std::vector<record_verdict> addLogRecord(std::uint64_t inOffset, std::string_view inData,
                                              std::int64_t inTimeMs);
 
--- a/tests/unit/settings_replica_test.cpp
+++ b/tests/unit/settings_replica_test.cpp
@@ -97,7 +97,7 @@
 
 } // namespace
 
-TEST_CASE("two replicas get the same results and the same bytes from the same log")
+TEST_CASE("two replicas get the same verdicts and the same bytes from the same log")
 {
     const test_log log = mixedLog(200);
     settings_replica first;
