--- a/corneltally/settings/settings_tree.cpp
+++ b/corneltally/settings/settings_tree.cpp
@@ -140,7 +140,7 @@
     }
     for (const std::string &path : inChange.remove) {
         if (path == "/" || subtree(path).empty())
-            return invalid("the node " + path.substr(0, 200) + " to remove does not exist",
+            return invalid("there is no node " + path.substr(0, 200) + " to remove",
                            "remove it from the change");
     }
     return std::nullopt;
