--- a/corneltally/entry/caller_answer.cpp
+++ b/corneltally/entry/caller_answer.cpp
@@ -1,14 +1,14 @@
 #include "corneltally/entry/caller_answer.h"
 
 #include "corneltally/core/json_log.h"
-#include "corneltally/settings/catalog.h"
+#include "corneltally/settings/settings_index.h"
 
 #include <algorithm>
 #include <vector>
 
 namespace corneltally::entry {
 
-std::string modelListBody(const settings::catalog &inCatalog)
+std::string modelListBody(const settings::settings_index &inCatalog)
 {
     std::vector<const settings::adapter_view *> adapters;
     adapters.reserve(inCatalog.adapterCount());
--- a/corneltally/entry/claims_service.h
+++ b/corneltally/entry/claims_service.h
@@ -10,7 +10,7 @@
 #include "corneltally/kernel/timer.h"
 #include "corneltally/platform/log_client.h"
 #include "corneltally/platform/log_service.h"
-#include "corneltally/settings/catalog.h"
+#include "corneltally/settings/settings_index.h"
 
 #include <algorithm>
 #include <chrono>
@@ -107,7 +107,7 @@
                                     std::uint64_t inIncarnation)
     : mRegistry(inRegistry)
     , mLog(std::move(inLog))
-    , mCoordinator(std::move(inInstance), inIncarnation, settings::catalog().claimWindow())
+    , mCoordinator(std::move(inInstance), inIncarnation, settings::settings_index().claimWindow())
     , mRetryDelay(claims_detail::cMinRetryDelay)
     , mRandom(std::random_device()())
     , mRetryTimer(inRegistry.loop(), [this] { readStream(); })
@@ -135,7 +135,7 @@
         mCoordinator.release(inRelease.key, inRelease.claimId, core::boot_clock::now());
         poll();
     });
-    mRegistry.handle<catalog_changed>(name(), [this](const catalog_changed &inChange) {
+    mRegistry.handle<settings_changed>(name(), [this](const settings_changed &inChange) {
         mCoordinator.setWindow(inChange.catalog->claimWindow());
     });
     mRegistry.handle<process_paused>(name(), [this](const process_paused &) { applyPause(); });
--- a/corneltally/entry/dispatch_service.cpp
+++ b/corneltally/entry/dispatch_service.cpp
@@ -4,7 +4,7 @@
 #include "corneltally/entry/dispatch_rules.h"
 #include "corneltally/entry/settings_messages.h"
 #include "corneltally/kernel/service_registry.h"
-#include "corneltally/settings/catalog.h"
+#include "corneltally/settings/settings_index.h"
 
 #include <algorithm>
 #include <utility>
@@ -74,7 +74,7 @@
         name(), [this](const peer_received<endpoint_status> &inReceived) {
             mDirectory.updateStatus(inReceived.message, core::boot_clock::now());
         });
-    mRegistry.handle<catalog_changed>(name(), [this](const catalog_changed &inChange) {
+    mRegistry.handle<settings_changed>(name(), [this](const settings_changed &inChange) {
         mDirectory.setCatalog(inChange.catalog);
     });
     mRegistry.handle<peers_changed>(
--- a/corneltally/entry/front_end_service.h
+++ b/corneltally/entry/front_end_service.h
@@ -101,7 +101,7 @@
     void complete(caller_run &ioRun, std::string_view inOutcome, std::string_view inEndpoint);
     void trackUnsentAnswer(const exchange_pointer &inCaller);
 
-    void applyCatalog(const catalog_changed &inChange);
+    void applyCatalog(const settings_changed &inChange);
     void sweep();
     void closeStalledCallers(core::time_point inNow);
     void serveHeldRequests();
@@ -113,7 +113,7 @@
     front_end_options mOptions;
     http::server mServer;
     kernel::timer mSweep;
-    std::shared_ptr<const settings::catalog> mCatalog;
+    std::shared_ptr<const settings::settings_index> mCatalog;
     std::unordered_map<std::string, std::unique_ptr<caller_run>> mRuns;
     std::vector<unsent_answer> mUnsentAnswers;
     /// Requests that arrived after a pause and wait until the settings are confirmed to be current.
--- a/corneltally/entry/settings_messages.h
+++ b/corneltally/entry/settings_messages.h
@@ -8,16 +8,16 @@
 #include <string>
 
 namespace corneltally::settings {
-class catalog;
+class settings_index;
 }
 
 namespace corneltally::entry {
 
 /// A new version of the settings tree or of the leaving endpoints is in effect. Broadcast to all
 /// services; shared since the settings are immutable and large.
-struct catalog_changed
+struct settings_changed
 {
-    std::shared_ptr<const settings::catalog> catalog;
+    std::shared_ptr<const settings::settings_index> catalog;
 };
 
 /// Names of the processes that the platform reports as leaving. The settings_sync service marks the
--- a/corneltally/settings/catalog.cpp
+++ b/corneltally/settings/settings_index.cpp
@@ -1,4 +1,4 @@
-#include "corneltally/settings/catalog.h"
+#include "corneltally/settings/settings_index.h"
 
 #include "corneltally/core/digest.h"
 #include "corneltally/settings/node_kind.h"
@@ -15,7 +15,7 @@
 constexpr std::string_view cAccountsPrefix = "/accounts/";
 constexpr std::string_view cAdaptersPrefix = "/adapters/";
 
-/// Reads values of one node, with inheritance. Absent values leave the target's default.
+/// Reads the effective values of one node. An absent value leaves the target unchanged.
 class node_reader
 {
 public:
@@ -125,17 +125,18 @@
 
 } // namespace
 
-struct catalog::part_stamps
+struct settings_index::part_versions
 {
-    stamp accounts;
-    stamp routes;
-    stamp endpoints;
-    stamp instances;
-    std::array<stamp, cAdapterShards> adapters;
-    /// Shard and name of every adapter, so that changed shards need no second walk over the tree.
+    part_version accounts;
+    part_version routes;
+    part_version endpoints;
+    part_version instances;
+    std::array<part_version, cAdapterShards> adapters;
+    /// Shard and name of every adapter, so that rebuilding changed shards needs no second pass over
+    /// the tree.
     std::vector<std::pair<std::size_t, std::string_view>> adapterNames;
 
-    explicit part_stamps(const settings_tree &inTree)
+    explicit part_versions(const settings_tree &inTree)
     {
         const std::uint64_t root = inTree.nodeVersion("/");
         for (const auto &[group, target] :
@@ -144,13 +145,13 @@
             target->group = inTree.nodeVersion(group);
             target->root = root;
         }
-        for (stamp &shard : adapters) {
+        for (part_version &shard : adapters) {
             shard.group = inTree.nodeVersion("/adapters");
             shard.root = root;
         }
         adapterNames.reserve(inTree.nodes().size());
         for (const auto &[path, node] : inTree.nodes()) {
-            if (stamp *target = find(path); target != nullptr) {
+            if (part_version *target = find(path); target != nullptr) {
                 ++target->nodes;
                 target->latest = std::max(target->latest, node.version);
             }
@@ -158,7 +159,7 @@
     }
 
 private:
-    stamp *find(std::string_view inPath)
+    part_version *find(std::string_view inPath)
     {
         if (inPath.starts_with(cAdaptersPrefix)) {
             const std::string_view name = inPath.substr(cAdaptersPrefix.size());
@@ -176,13 +177,13 @@
     }
 };
 
-catalog::catalog()
+settings_index::settings_index()
     : mKeysByDigest(std::make_shared<const name_index<key_view>>())
 { }
 
-catalog catalog::withLeaving(const std::set<std::string, std::less<>> &inNames) const
+settings_index settings_index::withLeaving(const std::set<std::string, std::less<>> &inNames) const
 {
-    catalog copy = *this;
+    settings_index copy = *this;
     auto endpoints = std::make_shared<ordered_index<endpoint_view>>(*mEndpoints.entries);
     for (auto &[name, view] : *endpoints)
         view.leaving = view.leaving || inNames.contains(name);
@@ -190,9 +191,9 @@
     return copy;
 }
 
-catalog::catalog(const settings_tree &inTree, const address_map &inEndpointAddresses,
-                 const catalog *inPrevious)
-    : catalog()
+settings_index::settings_index(const settings_tree &inTree, const address_map &inEndpointAddresses,
+                               const settings_index *inPrevious)
+    : settings_index()
 {
     if (inPrevious != nullptr) {
         mAdapters = inPrevious->mAdapters;
@@ -203,30 +204,30 @@
         mInstances = inPrevious->mInstances;
     }
     mVersion = inTree.version();
-    const part_stamps stamps(inTree);
+    const part_versions versions(inTree);
     const bool isFirst = inPrevious == nullptr;
-    if (isFirst || mAccounts.version != stamps.accounts)
+    if (isFirst || mAccounts.version != versions.accounts)
         buildAccounts(inTree);
-    if (isFirst || mRoutesByPath.version != stamps.routes)
+    if (isFirst || mRoutesByPath.version != versions.routes)
         buildRoutes(inTree);
-    if (isFirst || mEndpoints.version != stamps.endpoints)
+    if (isFirst || mEndpoints.version != versions.endpoints)
         buildEndpoints(inTree, inEndpointAddresses);
-    if (isFirst || mInstances.version != stamps.instances)
+    if (isFirst || mInstances.version != versions.instances)
         buildInstances(inTree);
-    mAccounts.version = stamps.accounts;
-    mRoutesByPath.version = stamps.routes;
-    mEndpoints.version = stamps.endpoints;
-    mInstances.version = stamps.instances;
-    buildAdapters(inTree, stamps);
+    mAccounts.version = versions.accounts;
+    mRoutesByPath.version = versions.routes;
+    mEndpoints.version = versions.endpoints;
+    mInstances.version = versions.instances;
+    buildAdapters(inTree, versions);
     readRoot(inTree);
 }
 
-std::size_t catalog::sShardOf(std::string_view inAdapter)
+std::size_t settings_index::sShardOf(std::string_view inAdapter)
 {
     return core::stableHash(inAdapter) % cAdapterShards;
 }
 
-void catalog::buildAccounts(const settings_tree &inTree)
+void settings_index::buildAccounts(const settings_tree &inTree)
 {
     auto accounts = std::make_shared<ordered_index<account_view>>();
     auto keys = std::make_shared<name_index<key_view>>();
@@ -246,19 +247,19 @@
     mKeysByDigest = std::move(keys);
 }
 
-void catalog::buildAdapters(const settings_tree &inTree, const part_stamps &inStamps)
+void settings_index::buildAdapters(const settings_tree &inTree, const part_versions &inVersions)
 {
     std::array<std::shared_ptr<name_index<adapter_view>>, cAdapterShards> changed;
     bool anyChanged = false;
     for (std::size_t shard = 0; shard < cAdapterShards; ++shard) {
-        if (mAdapters[shard].version == inStamps.adapters[shard])
+        if (mAdapters[shard].version == inVersions.adapters[shard])
             continue;
         changed[shard] = std::make_shared<name_index<adapter_view>>();
         anyChanged = true;
     }
     if (!anyChanged)
         return;
-    for (const auto &[shard, name] : inStamps.adapterNames) {
+    for (const auto &[shard, name] : inVersions.adapterNames) {
         if (!changed[shard])
             continue;
         const node_reader node(inTree, std::string(cAdaptersPrefix).append(name));
@@ -267,11 +268,11 @@
     }
     for (std::size_t shard = 0; shard < cAdapterShards; ++shard) {
         if (changed[shard])
-            mAdapters[shard] = {inStamps.adapters[shard], std::move(changed[shard])};
+            mAdapters[shard] = {inVersions.adapters[shard], std::move(changed[shard])};
     }
 }
 
-void catalog::buildRoutes(const settings_tree &inTree)
+void settings_index::buildRoutes(const settings_tree &inTree)
 {
     auto routes = std::make_shared<name_index<route_view>>();
     for (const std::string &name : inTree.children("/routes")) {
@@ -281,7 +282,7 @@
     mRoutesByPath.entries = std::move(routes);
 }
 
-void catalog::buildEndpoints(const settings_tree &inTree, const address_map &inAddresses)
+void settings_index::buildEndpoints(const settings_tree &inTree, const address_map &inAddresses)
 {
     auto endpoints = std::make_shared<ordered_index<endpoint_view>>();
     for (const std::string &name : inTree.children("/endpoints"))
@@ -293,7 +294,7 @@
     mEndpoints.entries = std::move(endpoints);
 }
 
-void catalog::buildInstances(const settings_tree &inTree)
+void settings_index::buildInstances(const settings_tree &inTree)
 {
     auto instances = std::make_shared<ordered_index<instance_view>>();
     for (const std::string &name : inTree.children("/instances")) {
@@ -304,7 +305,7 @@
     mInstances.entries = std::move(instances);
 }
 
-void catalog::readRoot(const settings_tree &inTree)
+void settings_index::readRoot(const settings_tree &inTree)
 {
     const node_reader root(inTree, "/");
     root.readNumber("weight_loads_per_second", mWeightLoadsPerSecond);
@@ -314,7 +315,7 @@
     root.readInteger("claim_window_s", mClaimWindow);
 }
 
-std::size_t catalog::adapterCount() const
+std::size_t settings_index::adapterCount() const
 {
     std::size_t count = 0;
     for (const auto &shard : mAdapters)
@@ -322,38 +323,38 @@
     return count;
 }
 
-const key_view *catalog::findKey(std::string_view inDigest) const
+const key_view *settings_index::findKey(std::string_view inDigest) const
 {
     const auto found = mKeysByDigest->find(inDigest);
     return found == mKeysByDigest->end() ? nullptr : &found->second;
 }
 
-const account_view *catalog::findAccount(std::string_view inName) const
+const account_view *settings_index::findAccount(std::string_view inName) const
 {
     const auto found = mAccounts.entries->find(inName);
     return found == mAccounts.entries->end() ? nullptr : &found->second;
 }
 
-const adapter_view *catalog::findAdapter(std::string_view inName) const
+const adapter_view *settings_index::findAdapter(std::string_view inName) const
 {
     const auto &entries = *mAdapters[sShardOf(inName)].entries;
     const auto found = entries.find(inName);
     return found == entries.end() ? nullptr : &found->second;
 }
 
-const route_view *catalog::findRoute(std::string_view inPath) const
+const route_view *settings_index::findRoute(std::string_view inPath) const
 {
     const auto found = mRoutesByPath.entries->find(inPath);
     return found == mRoutesByPath.entries->end() ? nullptr : &found->second;
 }
 
-const endpoint_view *catalog::findEndpoint(std::string_view inName) const
+const endpoint_view *settings_index::findEndpoint(std::string_view inName) const
 {
     const auto found = mEndpoints.entries->find(inName);
     return found == mEndpoints.entries->end() ? nullptr : &found->second;
 }
 
-const instance_view *catalog::findInstance(std::string_view inName) const
+const instance_view *settings_index::findInstance(std::string_view inName) const
 {
     const auto found = mInstances.entries->find(inName);
     return found == mInstances.entries->end() ? nullptr : &found->second;
--- a/corneltally/settings/settings_tree.cpp
+++ b/corneltally/settings/settings_tree.cpp
@@ -35,9 +35,9 @@
     return bytes;
 }
 
-core::error refusal(const std::vector<tree_problem> &inProblems)
+core::error combinedError(const std::vector<tree_problem> &inProblems)
 {
-    // The first few say enough; a change can break thousands of nodes at once.
+    // One change can make thousands of nodes invalid at once; list only the first few.
     constexpr std::size_t cMaxListed = 8;
     std::string message;
     for (std::size_t i = 0; i < std::min(inProblems.size(), cMaxListed); ++i) {
@@ -86,9 +86,9 @@
     modify(inChange, inOffset, undo);
 
     std::vector<tree_problem> problems;
-    std::set<node_kind> touched;
+    std::set<node_kind> changedKinds;
     for (const auto &[path, previous] : undo) {
-        touched.insert(kindOf(path));
+        changedKinds.insert(kindOf(path));
         checkOwnValues(*this, path, problems);
     }
     if (problems.empty()) {
@@ -97,7 +97,7 @@
             std::ranges::copy(subtree(path), std::inserter(affected, affected.end()));
         for (const std::string &path : affected)
             checkCompleteness(*this, path, problems);
-        checkRelations(*this, touched, problems);
+        checkRelations(*this, changedKinds, problems);
     }
     if (problems.empty() && (mBytes > cMaxTreeBytes || mNodes.size() > cMaxTreeNodes))
         problems.push_back({"/", "",
@@ -105,11 +105,11 @@
                                 + std::to_string(mBytes) + " bytes, more than "
                                 + std::to_string(cMaxTreeNodes) + " or "
                                 + std::to_string(cMaxTreeBytes),
-                            "remove nodes that are not used any more first"});
+                            "remove unused nodes first"});
     if (!problems.empty()) {
         for (auto &[path, previous] : undo)
             replaceNode(path, std::move(previous));
-        return refusal(problems);
+        return combinedError(problems);
     }
     mVersion = inOffset;
     rememberId(inChange.id, inOffset);
@@ -127,7 +127,7 @@
         return core::error{core::error_kind::conflict,
                            "change " + inChange.id + " was already applied at offset "
                                + std::to_string(offset),
-                           "nothing has to be done; use a new id for a new change"};
+                           "no action is needed; use a new id for a new change"};
     if (inChange.set.empty() && inChange.remove.empty())
         return invalid("the change modifies nothing", "add an assignment or a removal");
     std::set<std::pair<std::string_view, std::string_view>> assigned;
@@ -141,7 +141,7 @@
     for (const std::string &path : inChange.remove) {
         if (path == "/" || subtree(path).empty())
             return invalid("there is no node " + path.substr(0, 200) + " to remove",
-                           "take it out of the change");
+                           "remove it from the change");
     }
     return std::nullopt;
 }
@@ -159,7 +159,7 @@
         return core::error{core::error_kind::conflict,
                            inPath + " is at version " + std::to_string(current)
                                + ", but the change is based on " + given,
-                           "look at the newer version of " + inPath + " and publish again"};
+                           "review the newer version of " + inPath + " and publish again"};
     };
     for (const auto &[path, version] : inChange.base) {
         if (auto reason = outdated(path))
@@ -255,7 +255,7 @@
     while (at != mNodes.end() && at->first.starts_with(prefix)) {
         const std::size_t end = std::min(at->first.find('/', prefix.size()), at->first.size());
         names.push_back(at->first.substr(prefix.size(), end - prefix.size()));
-        // '\1' orders after everything below the child and before its next sibling.
+        // '\1' sorts after everything below the child and before its next sibling.
         at = mNodes.lower_bound(prefix + names.back() + '\1');
     }
     return names;
--- a/corneltally/settings/tree_validation.cpp
+++ b/corneltally/settings/tree_validation.cpp
@@ -38,7 +38,7 @@
         if (!isNew)
             ioProblems.push_back({path, std::string(inKey),
                                   "\"" + value + "\" is also set at " + other->second,
-                                  "give each its own value"});
+                                  "use a different value for each"});
     }
 }
 
@@ -57,7 +57,7 @@
             tree_problem found{inPath, group, "", ""};
             if (!inTree.contains(target)) {
                 found.message.append("\"").append(name).append("\" is not in /").append(group);
-                found.remedy = "add it there or take it off the list";
+                found.remedy = "add it there or remove it from the list";
             } else if (group == "endpoints" && textAt(inTree, target, "kind", "model") != kind) {
                 found.message.append("\"").append(name).append("\" is not of kind ").append(kind);
                 found.remedy = "list only endpoints of the route's kind";
@@ -72,7 +72,7 @@
 {
     const std::int64_t window = integerAt(inTree, "claim_window_s", 86'400);
     const std::int64_t retention = integerAt(inTree, "log_retention_s", 115'200);
-    // A claim must stay on the log for longer than its key is valid.
+    // An idempotency claim must stay on the log for longer than its key is valid.
     if (window * 4 > retention * 3)
         ioProblems.push_back({"/", "claim_window_s",
                               "the window of " + std::to_string(window)
@@ -134,24 +134,25 @@
                               "set a key of the account in the same change"});
 }
 
-void checkRelations(const settings_tree &inTree, const std::set<node_kind> &inTouched,
+void checkRelations(const settings_tree &inTree, const std::set<node_kind> &inChangedKinds,
                     std::vector<tree_problem> &ioProblems)
 {
-    const auto touched = [&](node_kind inKind) {
-        return inTouched.contains(inKind) || inTouched.contains(node_kind::root)
-            || inTouched.contains(parentKind(inKind));
+    const auto isAffected = [&](node_kind inKind) {
+        return inChangedKinds.contains(inKind) || inChangedKinds.contains(node_kind::root)
+            || inChangedKinds.contains(parentKind(inKind));
     };
-    if (inTouched.contains(node_kind::root))
+    if (inChangedKinds.contains(node_kind::root))
         checkClaimWindow(inTree, ioProblems);
-    if (touched(node_kind::key))
+    if (isAffected(node_kind::key))
         checkUnique(inTree, "/accounts", node_kind::key, "digest", ioProblems);
-    if (touched(node_kind::endpoint))
+    if (isAffected(node_kind::endpoint))
         checkUnique(inTree, "/endpoints", node_kind::endpoint, "address", ioProblems);
-    if (touched(node_kind::instance))
+    if (isAffected(node_kind::instance))
         checkUnique(inTree, "/instances", node_kind::instance, "peer_address", ioProblems);
-    if (touched(node_kind::route))
+    if (isAffected(node_kind::route))
         checkUnique(inTree, "/routes", node_kind::route, "path", ioProblems);
-    if (touched(node_kind::route) || touched(node_kind::endpoint) || touched(node_kind::account)) {
+    if (isAffected(node_kind::route) || isAffected(node_kind::endpoint)
+        || isAffected(node_kind::account)) {
         for (const std::string &name : inTree.children("/routes"))
             checkRouteReferences(inTree, "/routes/" + name, ioProblems);
     }
--- a/tests/unit/entry_admission_service_test.cpp
+++ b/tests/unit/entry_admission_service_test.cpp
@@ -4,7 +4,7 @@
 
 #include "corneltally/entry/admission_service.h"
 #include "corneltally/kernel/event_loop.h"
-#include "corneltally/settings/catalog.h"
+#include "corneltally/settings/settings_index.h"
 #include "corneltally/settings/settings_tree.h"
 
 #include <functional>
@@ -78,7 +78,7 @@
         const auto tree = settings::settings_tree::sFromToml(inText, "tree.toml");
         REQUIRE(tree.hasValue());
         registry.broadcast(
-            entry::catalog_changed{std::make_shared<const settings::catalog>(*tree)});
+            entry::settings_changed{std::make_shared<const settings::settings_index>(*tree)});
     }
     void admit(const std::string &inId, double inTokens)
     {
--- a/tests/unit/entry_datapath_test.cpp
+++ b/tests/unit/entry_datapath_test.cpp
@@ -15,7 +15,7 @@
 #include "corneltally/kernel/event_loop.h"
 #include "corneltally/kernel/service_registry.h"
 #include "corneltally/kernel/timer.h"
-#include "corneltally/settings/catalog.h"
+#include "corneltally/settings/settings_index.h"
 #include "corneltally/settings/settings_tree.h"
 
 #include <optional>
@@ -226,10 +226,10 @@
         const auto tree = settings::settings_tree::sFromToml(text, "tree.toml");
         INFO((tree ? std::string() : tree.reason().message));
         REQUIRE(tree.hasValue());
-        const auto catalog = std::make_shared<const settings::catalog>(*tree);
+        const auto catalog = std::make_shared<const settings::settings_index>(*tree);
         for (instance *target : {north.get(), south.get()}) {
             if (target != nullptr)
-                target->registry->broadcast(catalog_changed{catalog});
+                target->registry->broadcast(settings_changed{catalog});
         }
     }
 
--- a/tests/unit/entry_peers_test.cpp
+++ b/tests/unit/entry_peers_test.cpp
@@ -9,7 +9,7 @@
 #include "corneltally/kernel/timer.h"
 #include "corneltally/peer/connection.h"
 #include "corneltally/peer/listener.h"
-#include "corneltally/settings/catalog.h"
+#include "corneltally/settings/settings_index.h"
 #include "corneltally/settings/settings_tree.h"
 
 #include <optional>
@@ -100,7 +100,8 @@
             + std::to_string(listener.port()) + "\"\n";
         const auto tree = settings::settings_tree::sFromToml(text, "tree.toml");
         REQUIRE(tree.hasValue());
-        registry.broadcast(catalog_changed{std::make_shared<const settings::catalog>(*tree)});
+        registry.broadcast(
+            settings_changed{std::make_shared<const settings::settings_index>(*tree)});
         registry.startAll();
     }
 
--- a/tests/unit/settings_forwarding_test.cpp
+++ b/tests/unit/settings_forwarding_test.cpp
@@ -1,4 +1,4 @@
-// Guards against settings files with mistakes that are found only when the process needs them.
+// Guards against errors in settings files that are found only when the process uses the setting.
 
 #include "corneltally/settings/forwarding_settings.h"
 
@@ -34,15 +34,15 @@
 
 } // namespace
 
-TEST_CASE("a file of a forwarding instance is read as a whole")
+TEST_CASE("all keys of a forwarding instance's file are read")
 {
     const auto settings = forwarding_settings::sFromToml(cFile, "a.toml");
     REQUIRE(settings);
     CHECK(settings->machine == "10.1.0.25");
     CHECK(settings->retryRatio == 1);
     CHECK(settings->holderPauseMs == 3000);
-    CHECK(forwarding_settings::sIsOne(cFile));
-    CHECK_FALSE(forwarding_settings::sIsOne("[platform]\naddress = \"1.1.1.1:1\"\n"));
+    CHECK(forwarding_settings::sIsForwardingFile(cFile));
+    CHECK_FALSE(forwarding_settings::sIsForwardingFile("[platform]\naddress = \"1.1.1.1:1\"\n"));
 }
 
 TEST_CASE("each key is on the reference page")
@@ -58,7 +58,7 @@
     }
 }
 
-TEST_CASE("all mistakes are named with line, key and remedy")
+TEST_CASE("all problems are reported with line, key and remedy")
 {
     std::string text = cFile;
     text.replace(text.find("stop_ms = 8000"), 14, "stop_msec = 8000");
--- a/tests/unit/settings_sync_test.cpp
+++ b/tests/unit/settings_sync_test.cpp
@@ -111,7 +111,7 @@
     bool peersReachable = true;
     kernel::service_registry registry;
     sync_service *sync = nullptr;
-    std::shared_ptr<const settings::catalog> catalog;
+    std::shared_ptr<const settings::settings_index> catalog;
     std::vector<std::uint64_t> versions;
     std::optional<core::time_point> confirmed;
 
@@ -126,7 +126,7 @@
         options.snapshotCheckPeriod = 20ms;
         sync = &registry.add(std::make_unique<sync_service>(
             registry, std::make_unique<mock_log>(inLoop, inLog, logReachable), options));
-        registry.handle<entry::catalog_changed>("observer", [this](const auto &inChange) {
+        registry.handle<entry::settings_changed>("observer", [this](const auto &inChange) {
             catalog = inChange.catalog;
             versions.push_back(catalog->version());
         });
