--- a/corneltally/engines/endpoint_choice.h
+++ b/corneltally/engines/endpoint_choice.h
@@ -15,20 +15,20 @@
 /// Parameters of the estimated time to the first event.
 struct choice_options
 {
-    /// Prompt tokens that an engine prefills in a millisecond (deployment sheets: 38 to 41).
+    /// Prompt tokens that an engine prefills in a millisecond; engines reach 38 to 41.
     double promptTokensPerMs = 40;
     /// Relative overhead of a prefill step, since each step also generates a token of the running
-    /// answers (deployment sheets: 5 ms in addition to the 50 ms for 2,048 tokens).
+    /// answers: engines need 5 ms for it in addition to the 50 ms for 2,048 prompt tokens.
     double stepOverhead = 0.12;
-    /// Attention time of the prefill, for a million pairs of a token and one before it (deployment
-    /// sheets: 0.49).
+    /// Attention time of the prefill, for a million pairs of a token and one before it: engines
+    /// need 0.49 ms.
     double prefillMsPerMillionPairs = 0.49;
     /// Cost of a long answer at an engine whose pauses are longer than the route allows. Such an
-    /// answer is late and loses two thirds of its value (deployment sheets).
+    /// answer is late and loses two thirds of its value.
     core::duration pausePenalty = std::chrono::milliseconds(600);
     /// An answer that takes this long is certain to overlap with the prefill of another prompt.
     core::duration pauseExposure = std::chrono::milliseconds(1000);
-    /// Time to generate a token of an answer (deployment sheets: 5 ms or more for a step).
+    /// Time to generate a token of an answer; an engine step takes 5 ms or more.
     core::duration answerToken = std::chrono::milliseconds(8);
     /// Cost, for each answer in progress, of the prefill of a prompt of this size at such an
     /// engine.
@@ -36,12 +36,12 @@
     core::duration concurrentPenalty = std::chrono::milliseconds(60);
     /// Upper bound of the factor by which an engine counts as slower than the typical one.
     double maxSlowness = 3;
-    /// Time to load an adapter (deployment sheets: 250 ms).
+    /// Time to load an adapter from the weight store; engines need 250 ms.
     core::duration adapterLoad = std::chrono::milliseconds(250);
-    /// Fraction of that time for a warm adapter (platform's pages: a tenth).
+    /// Fraction of that time for a warm adapter; engines need a tenth.
     double warmLoad = 0.1;
-    /// Price of a load from the weight store, as time that a request may wait instead: the
-    /// deployment sheets price a load at about a quarter of a request.
+    /// Price of a load from the weight store, as time that a request may wait instead: a
+    /// load costs about a quarter of a request.
     core::duration coldPenalty = std::chrono::milliseconds(150);
     /// Expected wait for a slot at an engine whose adapters are all in use, for each adapter that
     /// waits. Requests run for one to three seconds at an engine with eight slots.
--- a/corneltally/engines/endpoint_table.h
+++ b/corneltally/engines/endpoint_table.h
@@ -107,8 +107,8 @@
     static constexpr core::duration sReturnTimeout = std::chrono::milliseconds(2500);
     /// Number of unloaded adapters that an engine keeps warm.
     static constexpr std::size_t sWarmAdapters = 40;
-    /// Shortest pause that indicates the prefill of another prompt: a step that prefills 2,048
-    /// tokens takes 55 ms, and an event holds four to six tokens (deployment sheets).
+    /// Shortest pause that indicates the prefill of another prompt: an engine step that
+    /// prefills 2,048 tokens takes 55 ms, and an event holds four to six tokens.
     static constexpr core::duration sMinPrefillPause = std::chrono::milliseconds(200);
     /// Longer pauses have other causes, for example a preempted answer.
     static constexpr core::duration sMaxPrefillPause = std::chrono::milliseconds(900);
--- a/corneltally/forwarding/forward_context.h
+++ b/corneltally/forwarding/forward_context.h
@@ -53,8 +53,8 @@
     core::duration retryAfterSpread = std::chrono::milliseconds(350);
     /// A caller connection is closed if its peer's TCP is silent for this long.
     core::duration callerTcpTimeout = std::chrono::seconds(8);
-    /// A stopping instance refuses requests that may need more time than it has left. Streams of
-    /// the deployment sheets take up to 6 s, plain requests up to 0.5 s.
+    /// A stopping instance refuses requests that may need more time than it has left. Typical
+    /// streams take up to 6 s, plain requests up to 0.5 s.
     core::duration minStreamTime = std::chrono::milliseconds(5000);
     core::duration minPlainTime = std::chrono::milliseconds(1500);
     engines::choice_options choice;
--- a/corneltally/orders/engine_controller.cpp
+++ b/corneltally/orders/engine_controller.cpp
@@ -10,7 +10,7 @@
 using operation = engines::engine_order::operation;
 
 /// Time after which the load of a base model is ordered again if no report confirms it. The longest
-/// load in the deployment sheets takes 2.9 s, and more while several run.
+/// load takes 2.9 s, and more while several run.
 constexpr core::duration cModelLoadTime = std::chrono::seconds(8);
 
 /// Popularity that one use adds; far above the value below which adapter_slots drops an adapter.
--- a/corneltally/orders/engine_controller.h
+++ b/corneltally/orders/engine_controller.h
@@ -33,18 +33,18 @@
 /// Options of the control of one engine.
 struct controller_options
 {
-    /// Time to load an adapter (deployment sheets: 250 ms).
+    /// Time to load an adapter from the weight store; engines need 250 ms.
     core::duration adapterLoad = std::chrono::milliseconds(250);
     /// Upper bound of the assumed slow-down of parallel loads. Without it, long estimates would
     /// make more loads count as in flight, and so grow further.
     double maxSlowDown = 3;
-    /// Fraction of the load time for a warm adapter (platform's pages: a tenth).
+    /// Fraction of the load time for a warm adapter; engines need a tenth.
     double warmLoad = 0.1;
     /// Number of unloaded adapters that an engine keeps warm.
     std::size_t warmAdapters = 40;
     /// Delay before requests may use an adapter again that was expected to be resident but is not.
     core::duration lateLoadDelay = std::chrono::milliseconds(80);
-    /// Adapters that one engine may load at the same time (platform's pages: 4).
+    /// Adapters that one engine may load at the same time; engines load up to 4.
     int maxArriving = 4;
     /// Longest age of an instance's report of the adapters in use; heartbeats repeat it five times
     /// a second.
@@ -56,7 +56,7 @@
     core::duration busyDelay = std::chrono::milliseconds(100);
     /// Demand that is not renewed for this long is dropped.
     core::duration maxDemandAge = std::chrono::milliseconds(1500);
-    /// Lag of reports (platform's pages: some hundred ms).
+    /// Lag of engine reports, which is some hundred milliseconds.
     core::duration reportLag = std::chrono::milliseconds(400);
     /// Delay before an order without answer is sent again.
     core::duration repeatDelay = std::chrono::milliseconds(20);
--- a/corneltally/orders/order_service.cpp
+++ b/corneltally/orders/order_service.cpp
@@ -19,8 +19,8 @@
 /// Period of the checks that no message triggers: ended loads, reports, claims.
 constexpr core::duration cTickPeriod = std::chrono::milliseconds(25);
 /// Number of parallel loads over all engines beyond which loads slow down in proportion: the
-/// greater of a fixed number and a share of the engines (deployment sheets: 8 for 12 engines, 40
-/// and 32 for 90).
+/// greater of a fixed number and a share of the engines. Weight stores serve 8 parallel loads
+/// at full speed for 12 engines, and 40 or 32 for 90 engines.
 constexpr double cMinParallelLoads = 8;
 constexpr double cParallelLoadsPerEngine = 0.35;
 /// Delay between two attempts to claim engines.
