--- a/corneltally/forwarding/forward_context.h
+++ b/corneltally/forwarding/forward_context.h
@@ -70,7 +70,7 @@
     std::string failureDomain;
     forward_settings settings;
     std::shared_ptr<const routing::routing_table> table;
-    engines::endpoint_table book;
+    engines::endpoint_table endpoints;
     http1::connection_pool pool;
     limits::fleet_allowance allowance;
     limits::fleet_retry_budget retries;
--- a/corneltally/forwarding/forwarded_request.cpp
+++ b/corneltally/forwarding/forwarded_request.cpp
@@ -150,7 +150,7 @@
     mState = state::received;
     const auto named = mContext.namedVersions.find(engines::adapterKey(mWork.model, mWork.adapter));
     mWork.version = named == mContext.namedVersions.end() ? 0 : named->second;
-    const auto choice = engines::chooseEndpoint(mContext.book, mWork, mContext.failureDomain,
+    const auto choice = engines::chooseEndpoint(mContext.endpoints, mWork, mContext.failureDomain,
                                                 mContext.settings.choice, now);
     if (!choice) {
         if (mFailureAnswerStored)
@@ -166,7 +166,7 @@
         return;
     }
     mChoice = *choice;
-    const engines::endpoint &target = *mContext.book.find(mChoice.endpoint);
+    const engines::endpoint &target = *mContext.endpoints.find(mChoice.endpoint);
     mEndpointStart = target.entry.startedMs;
     if (mChoice.state == engines::endpoint_choice::readiness::ready) {
         send();
@@ -184,7 +184,7 @@
     const core::time_point now = core::boot_clock::now();
     mAdapterTimer.cancel();
     uncountWaiting();
-    engines::endpoint &target = *mContext.book.find(mChoice.endpoint);
+    engines::endpoint &target = *mContext.endpoints.find(mChoice.endpoint);
     mState = state::sent;
     mSentAt = now;
     ++mSendCount;
@@ -228,7 +228,7 @@
 
 void forwarded_request::countLoad()
 {
-    engines::endpoint &target = *mContext.book.find(mChoice.endpoint);
+    engines::endpoint &target = *mContext.endpoints.find(mChoice.endpoint);
     mMemoryTokens = mWork.promptTokens + mWork.answerTokens;
     ++target.own.requests;
     target.own.promptTokens += mWork.promptTokens;
@@ -258,7 +258,7 @@
     if (!mPromptCounted)
         return;
     mPromptCounted = false;
-    engines::endpoint *target = mContext.book.find(mChoice.endpoint);
+    engines::endpoint *target = mContext.endpoints.find(mChoice.endpoint);
     if (target != nullptr && target->entry.startedMs == mEndpointStart)
         target->own.promptTokens -= mWork.promptTokens;
 }
@@ -268,7 +268,7 @@
     if (!mLoadCounted)
         return;
     mLoadCounted = false;
-    engines::endpoint *target = mContext.book.find(mChoice.endpoint);
+    engines::endpoint *target = mContext.endpoints.find(mChoice.endpoint);
     // The counters were reset if the endpoint has restarted since.
     if (target == nullptr || target->entry.startedMs != mEndpointStart)
         return;
@@ -309,7 +309,7 @@
 void forwarded_request::attemptEnded(attempt_result inResult, std::string_view inReason)
 {
     const core::time_point now = core::boot_clock::now();
-    engines::endpoint *target = mContext.book.find(mChoice.endpoint);
+    engines::endpoint *target = mContext.endpoints.find(mChoice.endpoint);
     const bool isSameStart = target != nullptr && target->entry.startedMs == mEndpointStart;
     const attempt_facts facts{.result = inResult,
                               .kind = mRoute->kind,
@@ -386,7 +386,7 @@
     }
     if (mState == state::sent) {
         const bool sent = mUpstream && mUpstream->sent();
-        engines::endpoint *target = mContext.book.find(mChoice.endpoint);
+        engines::endpoint *target = mContext.endpoints.find(mChoice.endpoint);
         if (target != nullptr && target->entry.startedMs == mEndpointStart)
             target->health.failed(core::boot_clock::now());
         cancelAttempt();
@@ -410,7 +410,7 @@
 {
     if (mState == state::done)
         return;
-    engines::endpoint *target = mContext.book.find(mChoice.endpoint);
+    engines::endpoint *target = mContext.endpoints.find(mChoice.endpoint);
     if (mLoadCounted && target != nullptr && target->entry.startedMs == mEndpointStart)
         target->health.abandoned();
     const bool sent = mUpstream && mUpstream->sent();
--- a/corneltally/forwarding/forwarded_request_adapter.cpp
+++ b/corneltally/forwarding/forwarded_request_adapter.cpp
@@ -32,7 +32,7 @@
 void forwarded_request::requestAdapterLoad()
 {
     ++mLoadsRequested;
-    engines::endpoint &target = *mContext.book.find(mChoice.endpoint);
+    engines::endpoint &target = *mContext.endpoints.find(mChoice.endpoint);
     countWaiting(target);
     fleet::load_wanted wanted{.endpoint = mChoice.endpoint,
                               .startedMs = mEndpointStart,
@@ -60,7 +60,7 @@
     if (!mWaitingCounted)
         return;
     mWaitingCounted = false;
-    engines::endpoint *target = mContext.book.find(mChoice.endpoint);
+    engines::endpoint *target = mContext.endpoints.find(mChoice.endpoint);
     if (target == nullptr || target->entry.startedMs != mEndpointStart)
         return;
     const auto found = target->ownWaiting.find(engines::adapterKey(mWork.model, mWork.adapter));
@@ -70,7 +70,7 @@
 
 bool forwarded_request::isAdapterResident() const
 {
-    const engines::endpoint *target = mContext.book.find(mChoice.endpoint);
+    const engines::endpoint *target = mContext.endpoints.find(mChoice.endpoint);
     const auto found
         = target->adapters.resident.find(engines::adapterKey(mWork.model, mWork.adapter));
     return found != target->adapters.resident.end() && found->second >= mWork.version;
@@ -81,9 +81,9 @@
 void forwarded_request::sendOrAwaitAdapter()
 {
     const core::time_point now = core::boot_clock::now();
-    const engines::endpoint *target = mContext.book.find(mChoice.endpoint);
+    const engines::endpoint *target = mContext.endpoints.find(mChoice.endpoint);
     if (target == nullptr || target->entry.startedMs != mEndpointStart
-        || !mContext.book.usable(*target, now)) {
+        || !mContext.endpoints.usable(*target, now)) {
         chooseAndSend();
         return;
     }
@@ -117,7 +117,7 @@
     if (mState != state::waiting)
         return;
     const core::time_point now = core::boot_clock::now();
-    const engines::endpoint *target = mContext.book.find(mChoice.endpoint);
+    const engines::endpoint *target = mContext.endpoints.find(mChoice.endpoint);
     const std::string key = engines::adapterKey(mWork.model, mWork.adapter);
     const bool expected = target != nullptr
         && (target->adapters.arriving.contains(key) || isAdapterResident() || mLoadRetries > 0);
@@ -161,7 +161,7 @@
 bool forwarded_request::retryWhenLoaded(std::string_view inReason)
 {
     const core::time_point now = core::boot_clock::now();
-    engines::endpoint &target = *mContext.book.find(mChoice.endpoint);
+    engines::endpoint &target = *mContext.endpoints.find(mChoice.endpoint);
     const std::string key = engines::adapterKey(mWork.model, mWork.adapter);
     const bool lost = mAnswer.misdirected;
     const bool loadMayBeLate = mChoice.state != engines::endpoint_choice::readiness::ready
--- a/corneltally/forwarding/forwarded_request_answer.cpp
+++ b/corneltally/forwarding/forwarded_request_answer.cpp
@@ -132,7 +132,7 @@
 {
     const core::time_point now = core::boot_clock::now();
     firstEventReceived();
-    engines::endpoint *target = mContext.book.find(mChoice.endpoint);
+    engines::endpoint *target = mContext.endpoints.find(mChoice.endpoint);
     if (target != nullptr && target->entry.startedMs == mEndpointStart) {
         target->health.succeeded(*mFirstByteAt - mSentAt, now);
         recordPause(*target);
@@ -158,7 +158,7 @@
 {
     if (mSendCount > 1 || mLongestPause < engines::endpoint_table::sMinPrefillPause)
         return;
-    mContext.book.recordPause(inTarget.digest, mLongestPause);
+    mContext.endpoints.recordPause(inTarget.digest, mLongestPause);
     mContext.pauses.push_back(
         {inTarget.digest, std::chrono::duration_cast<milliseconds>(mLongestPause)});
 }
@@ -242,7 +242,7 @@
     mContext.metrics.observe("request_seconds", now - mRequest.arrived);
     if (mFirstByteAt)
         mContext.metrics.observe("first_byte_seconds", *mFirstByteAt - mRequest.arrived);
-    const engines::endpoint *target = mContext.book.find(mChoice.endpoint);
+    const engines::endpoint *target = mContext.endpoints.find(mChoice.endpoint);
     core::logEvent(core::log_level::info, "request",
                    {{"request", mTerms.requestId},
                     {"route", mRoute != nullptr ? mRoute->name : std::string()},
--- a/corneltally/forwarding/front_service.cpp
+++ b/corneltally/forwarding/front_service.cpp
@@ -31,7 +31,7 @@
                .failureDomain = mOptions.failureDomain,
                .settings = mOptions.settings,
                .table = nullptr,
-               .book = {},
+               .endpoints = {},
                .pool = http1::connection_pool(ioRegistry.loop(), {}),
                .allowance = {},
                .retries = limits::fleet_retry_budget(mOptions.retries),
@@ -41,7 +41,7 @@
     , mPruneTimer(ioRegistry.loop(),
                   [this] {
                       mContext.pool.prune();
-                      mContext.book.prune(core::boot_clock::now());
+                      mContext.endpoints.prune(core::boot_clock::now());
                   })
     , mListener(ioRegistry.loop(), [this](int inSocket) { accept(inSocket); })
 {
@@ -57,18 +57,18 @@
         });
     ioRegistry.handle<catalog::endpoint_changed>(
         cName, [this](const catalog::endpoint_changed &inChanged) {
-            if (mContext.book.apply(inChanged.entry, core::boot_clock::now()))
+            if (mContext.endpoints.apply(inChanged.entry, core::boot_clock::now()))
                 mContext.pool.closeIdleTo(inChanged.entry.address);
             endpointChanged(inChanged.entry.id);
         });
     ioRegistry.handle<catalog::endpoint_removed>(
         cName, [this](const catalog::endpoint_removed &inRemoved) {
-            mContext.book.remove(inRemoved.id, inRemoved.mayReturn, core::boot_clock::now());
+            mContext.endpoints.remove(inRemoved.id, inRemoved.mayReturn, core::boot_clock::now());
             endpointChanged(inRemoved.id);
         });
     ioRegistry.handle<catalog::endpoints_listed>(
         cName, [this](const catalog::endpoints_listed &inListed) {
-            mContext.book.keepOnly(inListed.ids, inListed.mayReturn, core::boot_clock::now());
+            mContext.endpoints.keepOnly(inListed.ids, inListed.mayReturn, core::boot_clock::now());
             mEndpointsListed = true;
         });
     ioRegistry.handle<orders::held_engine_changed>(
@@ -84,7 +84,7 @@
             std::set<std::string> live{mOptions.instance};
             for (const auto &[name, domain] : inChanged.live)
                 live.insert(name);
-            mContext.book.setLiveHolders(live);
+            mContext.endpoints.setLiveHolders(live);
         });
     ioRegistry.handle<fleet::heartbeat_due>(
         cName, [this](const fleet::heartbeat_due &) { sendHeartbeatPart(); });
@@ -205,9 +205,9 @@
 void front_service::engineStateReceived(const std::string &inHolder,
                                         const fleet::engine_state &inState)
 {
-    mContext.book.applyHolderReport(inState.endpoint, inState.startedMs, inHolder, inState.ready,
-                                    inState.adapters, inState.models, inState.queued,
-                                    core::boot_clock::now());
+    mContext.endpoints.applyHolderReport(inState.endpoint, inState.startedMs, inHolder,
+                                         inState.ready, inState.adapters, inState.models,
+                                         inState.queued, core::boot_clock::now());
     endpointChanged(inState.endpoint);
 }
 
@@ -217,11 +217,11 @@
     if (const auto *state = std::get_if<fleet::engine_state>(&inReceived.body)) {
         engineStateReceived(inReceived.instance, *state);
     } else if (const auto *beat = std::get_if<fleet::heartbeat>(&inReceived.body)) {
-        mContext.book.applyPeerLoads(inReceived.instance, beat->loads,
-                                     {beat->adaptersRunning.begin(), beat->adaptersRunning.end()},
-                                     now);
+        mContext.endpoints.applyPeerLoads(
+            inReceived.instance, beat->loads,
+            {beat->adaptersRunning.begin(), beat->adaptersRunning.end()}, now);
         for (const fleet::answer_pause &seen : beat->pauses)
-            mContext.book.recordPause(seen.endpoint, seen.pause);
+            mContext.endpoints.recordPause(seen.endpoint, seen.pause);
         mContext.allowance.applyPeerTotals(inReceived.instance, inReceived.incarnation,
                                            beat->accountUses, now);
     }
@@ -230,7 +230,7 @@
 void front_service::sendHeartbeatPart()
 {
     fleet::heartbeat_part part{.accountUses = mContext.allowance.ownUses()};
-    for (const auto &[id, target] : mContext.book.all()) {
+    for (const auto &[id, target] : mContext.endpoints.all()) {
         if (target.own.requests > 0)
             part.loads[target.digest] = target.own;
         for (const auto &[adapter, count] : target.ownRunning)
@@ -257,7 +257,7 @@
 
 void front_service::paused()
 {
-    mContext.book.forgetReports();
+    mContext.endpoints.forgetReports();
     mContext.allowance.resetAfterPause(core::boot_clock::now());
 }
 
@@ -267,7 +267,7 @@
         + ",\"running\":" + std::to_string(mRunning) + ",\"configuration\":"
         + std::to_string(mContext.table ? mContext.table->version() : 0) + ",\"endpoints\":[";
     bool first = true;
-    for (const auto &[id, target] : mContext.book.all()) {
+    for (const auto &[id, target] : mContext.endpoints.all()) {
         text.append(first ? "" : ",").append("{\"id\":\"").append(core::jsonEscape(id));
         text.append("\",\"holder\":\"").append(core::jsonEscape(target.holder));
         text.append("\",\"ready\":").append(target.holderReady ? "true" : "false");
--- a/tests/unit/engines_endpoint_choice_test.cpp
+++ b/tests/unit/engines_endpoint_choice_test.cpp
@@ -30,24 +30,25 @@
 
 struct three_engines
 {
-    engines::endpoint_table book;
+    engines::endpoint_table endpoints;
 
     three_engines()
     {
         for (const std::string id : {"e1", "e2", "e3"}) {
-            book.apply(engineEntry(id), cStart);
+            endpoints.apply(engineEntry(id), cStart);
             report(id, {});
         }
     }
 
     void report(const std::string &inId, engines::residency inAdapters)
     {
-        book.applyHolderReport(inId, 1, "holder", true, std::move(inAdapters), {"base"}, 0, cStart);
+        endpoints.applyHolderReport(inId, 1, "holder", true, std::move(inAdapters), {"base"}, 0,
+                                    cStart);
     }
 
     std::optional<endpoint_choice> choose(const engines::work_request &inRequest)
     {
-        return engines::chooseEndpoint(book, inRequest, "north", {}, cStart);
+        return engines::chooseEndpoint(endpoints, inRequest, "north", {}, cStart);
     }
 };
 
@@ -78,7 +79,7 @@
 {
     three_engines fleet;
     fleet.report("e2", {.resident = {{"base/a1", 1}}});
-    fleet.book.find("e2")->own.promptTokens = 100'000;
+    fleet.endpoints.find("e2")->own.promptTokens = 100'000;
     const auto choice = fleet.choose(adapterRequest());
     REQUIRE(choice);
     CHECK(choice->endpoint != "e2");
@@ -89,11 +90,12 @@
 {
     three_engines fleet;
     fleet.report("e2", {.resident = {{"base/a1", 1}}});
-    fleet.book.applyPeerLoads(
+    fleet.endpoints.applyPeerLoads(
         "other", {{engines::digestOf("e2"), {.requests = 20, .promptTokens = 100'000}}}, {},
         cStart);
     CHECK(fleet.choose(adapterRequest())->endpoint != "e2");
-    CHECK(engines::chooseEndpoint(fleet.book, adapterRequest(), "north", {}, cStart + 3s)->endpoint
+    CHECK(engines::chooseEndpoint(fleet.endpoints, adapterRequest(), "north", {}, cStart + 3s)
+              ->endpoint
           == "e2");
 }
 
@@ -111,9 +113,9 @@
 {
     three_engines fleet;
     for (const std::string id : {"e1", "e2", "e3"})
-        fleet.book.find(id)->holderReady = false;
+        fleet.endpoints.find(id)->holderReady = false;
     CHECK_FALSE(fleet.choose(adapterRequest()));
-    fleet.book.find("e1")->adapters.resident["base/a1"] = 1;
+    fleet.endpoints.find("e1")->adapters.resident["base/a1"] = 1;
     CHECK(fleet.choose(adapterRequest())->endpoint == "e1");
 }
 
@@ -122,13 +124,13 @@
 TEST_CASE("engines whose holder is not live get no loads until a holder reports again")
 {
     three_engines fleet;
-    fleet.book.applyHolderReport("e1", 1, "other", true, {.resident = {{"base/a9", 1}}}, {"base"},
-                                 0, cStart);
-    fleet.book.setLiveHolders({"other"});
+    fleet.endpoints.applyHolderReport("e1", 1, "other", true, {.resident = {{"base/a9", 1}}},
+                                      {"base"}, 0, cStart);
+    fleet.endpoints.setLiveHolders({"other"});
     const auto choice = fleet.choose(adapterRequest());
     REQUIRE(choice);
     CHECK(choice->endpoint == "e1");
-    fleet.book.setLiveHolders({});
+    fleet.endpoints.setLiveHolders({});
     CHECK_FALSE(fleet.choose(adapterRequest()));
     // Resident adapters still serve requests.
     engines::work_request resident = adapterRequest();
@@ -143,11 +145,11 @@
     three_engines fleet;
     engines::endpoint_entry leaving = engineEntry("e1");
     leaving.leaving = true;
-    fleet.book.apply(leaving, cStart);
-    fleet.book.remove("e2", false, cStart);
-    fleet.book.remove("e3", true, cStart);
+    fleet.endpoints.apply(leaving, cStart);
+    fleet.endpoints.remove("e2", false, cStart);
+    fleet.endpoints.remove("e3", true, cStart);
     const auto usable = [&](const std::string &inId, core::duration inLater) {
-        return fleet.book.usable(*fleet.book.find(inId), cStart + inLater);
+        return fleet.endpoints.usable(*fleet.endpoints.find(inId), cStart + inLater);
     };
     CHECK_FALSE(usable("e1", 0s));
     CHECK_FALSE(usable("e2", 0s));
@@ -159,13 +161,13 @@
 {
     three_engines fleet;
     fleet.report("e1", {.resident = {{"base/a1", 1}}});
-    fleet.book.find("e1")->own.requests = 5;
-    CHECK(fleet.book.apply(engineEntry("e1", 2), cStart));
-    CHECK(fleet.book.find("e1")->adapters.resident.empty());
-    CHECK(fleet.book.find("e1")->own.requests == 0);
+    fleet.endpoints.find("e1")->own.requests = 5;
+    CHECK(fleet.endpoints.apply(engineEntry("e1", 2), cStart));
+    CHECK(fleet.endpoints.find("e1")->adapters.resident.empty());
+    CHECK(fleet.endpoints.find("e1")->own.requests == 0);
     // The holder still reports the former start.
     fleet.report("e1", {.resident = {{"base/a1", 1}}});
-    CHECK(fleet.book.find("e1")->adapters.resident.empty());
+    CHECK(fleet.endpoints.find("e1")->adapters.resident.empty());
 }
 
 TEST_CASE("a failing endpoint is excluded unless most endpoints fail")
@@ -173,14 +175,14 @@
     three_engines fleet;
     const auto fail = [&](const std::string &inId) {
         for (int failure = 0; failure < 3; ++failure) {
-            fleet.book.find(inId)->health.started();
-            fleet.book.find(inId)->health.failed(cStart);
+            fleet.endpoints.find(inId)->health.started();
+            fleet.endpoints.find(inId)->health.failed(cStart);
         }
     };
     for (const std::string id : {"e1", "e2", "e3"})
         fleet.report(id, {.resident = {{"base/a1", 1}}});
-    fleet.book.find("e2")->own.promptTokens = 50'000;
-    fleet.book.find("e3")->own.promptTokens = 50'000;
+    fleet.endpoints.find("e2")->own.promptTokens = 50'000;
+    fleet.endpoints.find("e3")->own.promptTokens = 50'000;
     CHECK(fleet.choose(adapterRequest())->endpoint == "e1");
     fail("e1");
     CHECK(fleet.choose(adapterRequest())->endpoint != "e1");
@@ -191,20 +193,20 @@
 
 TEST_CASE("a plain service's request stays in its failure domain while there is room")
 {
-    engines::endpoint_table book;
+    engines::endpoint_table endpoints;
     for (const auto &[id, domain] :
          {std::pair("s1", "north"), std::pair("s2", "south"), std::pair("s3", "west")})
-        book.apply({.id = id,
-                    .service = "shop",
-                    .address = {"10.0.0.1", 80},
-                    .failureDomain = domain,
-                    .capacity = 4,
-                    .startedMs = 1},
-                   cStart);
+        endpoints.apply({.id = id,
+                         .service = "shop",
+                         .address = {"10.0.0.1", 80},
+                         .failureDomain = domain,
+                         .capacity = 4,
+                         .startedMs = 1},
+                        cStart);
     const engines::work_request request{.service = "shop"};
-    CHECK(engines::chooseEndpoint(book, request, "south", {}, cStart)->endpoint == "s2");
-    book.find("s2")->own.requests = 6;
-    CHECK(engines::chooseEndpoint(book, request, "south", {}, cStart)->endpoint != "s2");
+    CHECK(engines::chooseEndpoint(endpoints, request, "south", {}, cStart)->endpoint == "s2");
+    endpoints.find("s2")->own.requests = 6;
+    CHECK(engines::chooseEndpoint(endpoints, request, "south", {}, cStart)->endpoint != "s2");
 }
 
 namespace {
@@ -213,15 +215,15 @@
 struct engines_with_adapter
 {
     static constexpr int sCount = 12;
-    engines::endpoint_table book;
+    engines::endpoint_table endpoints;
 
     engines_with_adapter()
     {
         for (int index = 0; index < sCount; ++index) {
             const std::string id = "e" + std::to_string(index);
-            book.apply(engineEntry(id), cStart);
-            book.applyHolderReport(id, 1, "holder", true, {.resident = {{"base/a1", 1}}}, {"base"},
-                                   0, cStart);
+            endpoints.apply(engineEntry(id), cStart);
+            endpoints.applyHolderReport(id, 1, "holder", true, {.resident = {{"base/a1", 1}}},
+                                        {"base"}, 0, cStart);
         }
     }
 
@@ -230,10 +232,10 @@
     {
         std::set<std::string> used;
         for (int request = 0; request < inRequests; ++request) {
-            const auto choice = engines::chooseEndpoint(book, inWork, "north", {}, cStart);
+            const auto choice = engines::chooseEndpoint(endpoints, inWork, "north", {}, cStart);
             REQUIRE(choice);
             used.insert(choice->endpoint);
-            engines::endpoint &target = *book.find(choice->endpoint);
+            engines::endpoint &target = *endpoints.find(choice->endpoint);
             target.own.promptTokens += inWork.promptTokens;
             ++target.own.requests;
         }
@@ -253,12 +255,12 @@
     for (int answer = 0; answer < 10; ++answer) {
         for (int index = 0; index < engines_with_adapter::sCount; ++index) {
             const std::string id = "e" + std::to_string(index);
-            fleet.book.recordPause(engines::digestOf(id), slow.contains(id) ? 455ms : 350ms);
+            fleet.endpoints.recordPause(engines::digestOf(id), slow.contains(id) ? 455ms : 350ms);
         }
     }
-    fleet.book.prune(cStart);
-    CHECK(fleet.book.slowness(*fleet.book.find("e1")) == Approx(1.3));
-    CHECK(fleet.book.slowness(*fleet.book.find("e2")) == Approx(1.0));
+    fleet.endpoints.prune(cStart);
+    CHECK(fleet.endpoints.slowness(*fleet.endpoints.find("e1")) == Approx(1.3));
+    CHECK(fleet.endpoints.slowness(*fleet.endpoints.find("e2")) == Approx(1.0));
     engines::work_request chat = adapterRequest(800);
     chat.expectedTokens = 290;
     chat.targetPause = 400ms;
@@ -272,12 +274,12 @@
 TEST_CASE("pauses from other causes and of unknown endpoints are ignored")
 {
     engines_with_adapter fleet;
-    fleet.book.recordPause(engines::digestOf("e1"), 40ms);
-    fleet.book.recordPause(engines::digestOf("e1"), 3s);
-    fleet.book.recordPause(engines::digestOf("nobody"), 400ms);
-    fleet.book.prune(cStart);
-    CHECK(fleet.book.find("e1")->prefillPause == 0ms);
-    CHECK(fleet.book.slowness(*fleet.book.find("e1")) == 1);
+    fleet.endpoints.recordPause(engines::digestOf("e1"), 40ms);
+    fleet.endpoints.recordPause(engines::digestOf("e1"), 3s);
+    fleet.endpoints.recordPause(engines::digestOf("nobody"), 400ms);
+    fleet.endpoints.prune(cStart);
+    CHECK(fleet.endpoints.find("e1")->prefillPause == 0ms);
+    CHECK(fleet.endpoints.slowness(*fleet.endpoints.find("e1")) == 1);
 }
 
 TEST_CASE("the cost to other requests is not part of the estimated wait")
@@ -285,13 +287,13 @@
     engines_with_adapter fleet;
     for (int index = 0; index < engines_with_adapter::sCount; ++index) {
         const std::string id = "e" + std::to_string(index);
-        fleet.book.recordPause(engines::digestOf(id), 700ms);
-        fleet.book.find(id)->own.requests = 30;
+        fleet.endpoints.recordPause(engines::digestOf(id), 700ms);
+        fleet.endpoints.find(id)->own.requests = 30;
     }
     engines::work_request request = adapterRequest(800);
     request.expectedTokens = 290;
     request.targetPause = 400ms;
-    const auto choice = engines::chooseEndpoint(fleet.book, request, "north", {}, cStart);
+    const auto choice = engines::chooseEndpoint(fleet.endpoints, request, "north", {}, cStart);
     REQUIRE(choice);
     CHECK(choice->estimate < 100ms);
 }
