--- a/corneltally/catalog/catalog_service.h
+++ b/corneltally/catalog/catalog_service.h
@@ -28,8 +28,8 @@
     std::string fleetTopic;
     /// Time that a read of the operator records waits at the store. The wait is long since each
     /// call to the store is priced. It also bounds how late a dead connection is noticed; until
-    /// then other instances relay the records, and the endpoint reader notices a silent store
-    /// within 2 s.
+    /// then other instances relay the records, and the endpoint reader detects an unavailable
+    /// store within 2 s.
     core::duration operatorWait = std::chrono::milliseconds(8000);
     /// The same for the fleet topic, until the orders service asks for another wait.
     core::duration fleetWait = std::chrono::milliseconds(2200);
--- a/corneltally/claims/claim_table.h
+++ b/corneltally/claims/claim_table.h
@@ -36,7 +36,7 @@
 /// State of all idempotency claims, by replay of the claims stream. Every reader of the same
 /// records gets the same state:
 /// - A claim gets the key if no other claim holds it at that offset. A claim that lost never gets
-///   the key later, since its claimant may be gone.
+///   the key later, since its claimant may no longer wait for it.
 /// - Only the first record with a claim id counts, so that a late duplicate of an earlier claim
 ///   does not get the key again after its release.
 /// - A key expires one claim window after its last successful claim, by the clock of the log.
--- a/corneltally/entry/peers_service.cpp
+++ b/corneltally/entry/peers_service.cpp
@@ -20,7 +20,7 @@
 /// Minimum time between two attempts to connect to the same peer.
 constexpr core::duration cDialPeriod = 500ms;
 /// Maximum time after a start or a pause that an instance waits for its peers before it considers
-/// them down. It covers the silence limit and one more attempt to connect.
+/// them down. It covers the time until a peer counts as down and one more attempt to connect.
 constexpr core::duration cViewHold = membership::peer_table::cDownAfter + 500ms;
 
 std::string joinAsJson(const std::vector<std::string> &inNames)
@@ -65,7 +65,7 @@
     mRegistry.handle<catalog_changed>(
         name(), [this](const catalog_changed &inChange) { applyCatalog(inChange); });
     mRegistry.handle<process_paused>(name(), [this](const process_paused &) {
-        // Silence during a pause of this process does not show that peers are down.
+        // Messages missed during a pause of this process do not show that peers are down.
         mViewHoldUntil = core::boot_clock::now() + cViewHold;
     });
     mRegistry.handle<drain_started>(name(), [this](const drain_started &) {
--- a/corneltally/entry/peers_service.h
+++ b/corneltally/entry/peers_service.h
@@ -34,7 +34,7 @@
 /// dispatches their messages to the services of this process.
 ///
 /// Both instances of a pair connect to each other, and both connections carry messages in both
-/// directions. If one becomes silent, the other is used while it is replaced.
+/// directions. If one becomes unresponsive, the other is used while it is replaced.
 class peers_service : public kernel::service
 {
 public:
--- a/corneltally/entry/settings_sync_options.h
+++ b/corneltally/entry/settings_sync_options.h
@@ -15,8 +15,8 @@
     std::string instance;
     /// Addresses by endpoint name that override those of the settings tree.
     std::map<std::string, std::string, std::less<>> endpointAddresses;
-    /// How long a read waits at the log for a record. Each read confirms the tree once. A silent
-    /// connection is abandoned 2 s later, and a change must still be read within 3 s.
+    /// How long a read waits at the log for a record. Each read confirms the tree once. An
+    /// unresponsive connection is abandoned 2 s later, and a change must still be read within 3 s.
     std::chrono::milliseconds logWait{500};
     /// Minimum and maximum delay before the next attempt to read the log.
     core::duration minRetryDelay = std::chrono::milliseconds(100);
--- a/corneltally/entry/settings_sync_service.h
+++ b/corneltally/entry/settings_sync_service.h
@@ -99,7 +99,7 @@
 /// Maximum age of a log confirmation that is forwarded to peers.
 constexpr core::duration cMaxForwardAge = std::chrono::seconds(2);
 /// Maximum age of a confirmation by a peer: the age at which the peer still forwards it plus the
-/// time in transit on a connection, which is closed after 2 s of silence.
+/// time in transit on a connection, which is closed after 2 s without data.
 constexpr core::duration cMaxPeerConfirmationAge = std::chrono::seconds(4);
 /// Minimum time between two snapshots, in which the first one can be read back from the log.
 constexpr core::duration cMinSnapshotInterval = std::chrono::seconds(30);
--- a/corneltally/fleet/holder_claims.cpp
+++ b/corneltally/fleet/holder_claims.cpp
@@ -92,7 +92,7 @@
 core::time_point holder_claims::lastReceived(const std::string &inInstance) const
 {
     const auto found = mLastReceived.find(inInstance);
-    // For an instance from which nothing was received, the silence counts from this instance's
+    // For an instance from which nothing was received, the time counts from this instance's
     // first read.
     return found == mLastReceived.end() ? mFirstConfirmed.value_or(core::time_point())
                                         : found->second;
