--- a/corneltally/forwarding/forwarded_request.cpp
+++ b/corneltally/forwarding/forwarded_request.cpp
@@ -326,6 +326,7 @@
                     {"reason", inReason},
                     {"run", toString(mRunState)},
                     {"ms", inMs(now - mSentAt)}});
+    // The reasons are label values, so their texts, also those from http1, must stay as they are.
     mContext.metrics.count("attempts_failed_total{reason=\"" + std::string(inReason) + "\"}");
     mFailureAnswerStored = inResult == attempt_result::failure_answered;
     const bool adapterRefused = inResult == attempt_result::refused && !mWork.adapter.empty();
--- a/corneltally/http1/client_connection.cpp
+++ b/corneltally/http1/client_connection.cpp
@@ -77,7 +77,7 @@
         const std::size_t taken = mParser->feed(input);
         mStream.consume(taken);
         if (mParser->failed()) {
-            finish(exchange_end::kind::broken, "the received bytes are not a valid HTTP response");
+            finish(exchange_end::kind::broken, "the bytes are not an answer");
             return;
         }
         if (!deliver())
@@ -144,6 +144,8 @@
     if (!mReusable)
         mStream.close();
     const auto handler = std::exchange(mEvents, {}).onEnd;
+    // The forwarding code uses the reason as a label value of attempts_failed_total, so the texts
+    // must stay as they are.
     if (handler)
         handler({inOutcome, wasSent, inReason});
 }
@@ -156,7 +158,7 @@
         return;
     }
     if (!mConnected) {
-        finish(exchange_end::kind::not_connected, "the connection could not be opened");
+        finish(exchange_end::kind::not_connected, "no connection");
         return;
     }
     // Only an orderly close completes a body without a stated length.
