--- a/corneltally/forwarding/forwarded_request.cpp
+++ b/corneltally/forwarding/forwarded_request.cpp
@@ -382,7 +382,7 @@
     if (mState == state::done)
         return;
     if (mAnswerStarted) {
-        abortAnswer("the deadline of the request has passed");
+        abortAnswer("the timeout of the route has passed");
         return;
     }
     if (mState == state::sent) {
