--- a/corneltally/http1/client_connection.h
+++ b/corneltally/http1/client_connection.h
@@ -28,7 +28,7 @@
     kind outcome = kind::broken;
     /// Whether any byte of the request may have reached the server.
     bool sent = false;
-    /// Reason for the log.
+    /// Reason for the log and for labels of metrics.
     std::string_view reason;
 };
 
