--- a/corneltally/entry/admission_service.cpp
+++ b/corneltally/entry/admission_service.cpp
@@ -51,7 +51,7 @@
     mRegistry.handle<charge_settle>(
         name(), [this](const charge_settle &inSettle) { receiveSettle(inSettle); });
     mRegistry.handle<settings_changed>(
-        name(), [this](const settings_changed &inChange) { applyCatalog(inChange); });
+        name(), [this](const settings_changed &inChange) { applySettings(inChange); });
     mRegistry.handle<peers_changed>(
         name(), [this](const peers_changed &inChange) { applyPeers(inChange); });
     mRegistry.handle<process_paused>(name(), [this](const process_paused &) { applyPause(); });
@@ -115,26 +115,26 @@
         poll(found, now);
 }
 
-void admission_service::applyCatalog(const settings_changed &inChange)
+void admission_service::applySettings(const settings_changed &inChange)
 {
-    const settings::settings_index &catalog = *inChange.catalog;
+    const settings::settings_index &settingsIndex = *inChange.settingsIndex;
     const core::time_point now = core::boot_clock::now();
-    const auto instances = static_cast<double>(catalog.instances().size());
-    const bool isListed = catalog.findInstance(mInstance) != nullptr;
+    const auto instances = static_cast<double>(settingsIndex.instances().size());
+    const bool isListed = settingsIndex.findInstance(mInstance) != nullptr;
     const double share = mIgnoreShares ? 1.0 : 1.0 / instances;
     const double fraction = isListed ? share : 0.0;
     std::set<std::string, std::less<>> names{std::string(cWeightStoreLimit)};
-    for (const auto &[account, view] : catalog.accounts()) {
+    for (const auto &[account, view] : settingsIndex.accounts()) {
         names.insert(account);
         setLimit(account, view.rateTokensPerSecond, view.burstTokens, fraction, now);
     }
     // The burst is one load per instance, since a share below one load could never be used.
-    setLimit(std::string(cWeightStoreLimit), catalog.weightLoadsPerSecond(), instances, fraction,
-             now);
+    setLimit(std::string(cWeightStoreLimit), settingsIndex.weightLoadsPerSecond(), instances,
+             fraction, now);
     mMaxLoadsInFlight = std::max<std::size_t>(
-        1, static_cast<std::size_t>(std::floor(catalog.weightLoadsInFlight() * fraction)));
+        1, static_cast<std::size_t>(std::floor(settingsIndex.weightLoadsInFlight() * fraction)));
     removeLimits(names, now);
-    mHasCatalog = true;
+    mHasSettings = true;
     for (auto item = mLimits.begin(); item != mLimits.end(); ++item)
         poll(item, now);
 }
@@ -152,7 +152,7 @@
     // instance may have lent tokens before then, but not after.
     limit added;
     added.limiter = std::make_unique<limits::shared_limiter>(
-        inRate, inBurst, inFraction, mHasCatalog ? inNow : mStartedAt, mIncarnation);
+        inRate, inBurst, inFraction, mHasSettings ? inNow : mStartedAt, mIncarnation);
     added.limiter->setPeers(mPeers);
     mLimits.emplace(inName, std::move(added));
 }
--- a/corneltally/entry/admission_service.h
+++ b/corneltally/entry/admission_service.h
@@ -48,7 +48,7 @@
     void receiveAdmissionRequest(const admission_request &inRequest);
     void receiveCancel(const admission_cancel &inCancel);
     void receiveSettle(const charge_settle &inSettle);
-    void applyCatalog(const settings_changed &inChange);
+    void applySettings(const settings_changed &inChange);
     void applyPeers(const peers_changed &inChange);
     void applyPause();
     void receiveLoanRequest(const peer_received<loan_request> &inRequest);
@@ -72,7 +72,7 @@
     std::uint64_t mIncarnation;
     bool mIgnoreShares;
     core::time_point mStartedAt;
-    bool mHasCatalog = false;
+    bool mHasSettings = false;
     limit_map mLimits;
     /// Accounts of the waiting requests, by request id.
     std::map<std::string, std::string, std::less<>> mWaitingAccounts;
--- a/corneltally/entry/caller_answer.cpp
+++ b/corneltally/entry/caller_answer.cpp
@@ -8,11 +8,11 @@
 
 namespace corneltally::entry {
 
-std::string modelListBody(const settings::settings_index &inCatalog)
+std::string modelListBody(const settings::settings_index &inSettingsIndex)
 {
     std::vector<const settings::adapter_view *> adapters;
-    adapters.reserve(inCatalog.adapterCount());
-    inCatalog.forEachAdapter(
+    adapters.reserve(inSettingsIndex.adapterCount());
+    inSettingsIndex.forEachAdapter(
         [&adapters](const settings::adapter_view &inAdapter) { adapters.push_back(&inAdapter); });
     std::ranges::sort(adapters, {}, &settings::adapter_view::name);
     std::string text = "{\"object\":\"list\",\"data\":[";
--- a/corneltally/entry/caller_answer.h
+++ b/corneltally/entry/caller_answer.h
@@ -22,7 +22,7 @@
 };
 
 /// Body of /v1/models: all adapters, ordered by name.
-std::string modelListBody(const settings::settings_index &inCatalog);
+std::string modelListBody(const settings::settings_index &inSettingsIndex);
 
 /// The JSON body {"error":{...}} of an error answer.
 std::string errorBody(const caller_error &inError, std::string_view inRequestId);
--- a/corneltally/entry/caller_request.cpp
+++ b/corneltally/entry/caller_request.cpp
@@ -151,7 +151,7 @@
 }
 
 /// Resolves the model name of a body, "adapter" or "adapter@version", to an adapter.
-core::result<settings::adapter_view> findAdapter(const settings::settings_index &inCatalog,
+core::result<settings::adapter_view> findAdapter(const settings::settings_index &inSettingsIndex,
                                                  const json &inBody)
 {
     const auto found = inBody.find("model");
@@ -163,7 +163,7 @@
     const std::string_view model = found->get_ref<const std::string &>();
     const std::size_t at = model.rfind('@');
     const std::string_view name = model.substr(0, at);
-    const settings::adapter_view *adapter = inCatalog.findAdapter(name);
+    const settings::adapter_view *adapter = inSettingsIndex.findAdapter(name);
     if (adapter == nullptr)
         return core::error{core::error_kind::not_found, "the adapter does not exist",
                            "name an adapter of GET /v1/models"};
@@ -174,7 +174,7 @@
     return *adapter;
 }
 
-core::result<run> buildModelRun(const settings::settings_index &inCatalog,
+core::result<run> buildModelRun(const settings::settings_index &inSettingsIndex,
                                 const received_request &inRequest, run inBase)
 {
     if (inRequest.method != "POST")
@@ -182,7 +182,7 @@
     json body = parseBounded(inRequest.body);
     if (!body.is_object())
         return invalidRequest("the body is not a JSON object", "send a JSON object");
-    const core::result<settings::adapter_view> adapter = findAdapter(inCatalog, body);
+    const core::result<settings::adapter_view> adapter = findAdapter(inSettingsIndex, body);
     if (!adapter)
         return adapter.reason();
     const core::result<std::size_t> bytes = promptBytes(body);
@@ -246,7 +246,7 @@
     return value;
 }
 
-core::result<caller_identity> identifyCaller(const settings::settings_index &inCatalog,
+core::result<caller_identity> identifyCaller(const settings::settings_index &inSettingsIndex,
                                              const settings::route_view &inRoute,
                                              const http::header_list &inHeaders)
 {
@@ -257,8 +257,9 @@
         return core::error{core::error_kind::unauthorized, "the request has no key",
                            "send the header Authorization: Bearer <key>"};
     std::string digest = core::sha256Hex(key);
-    const settings::key_view *found = inCatalog.findKey(digest);
-    if (found == nullptr || found->withdrawn || inCatalog.findAccount(found->account) == nullptr)
+    const settings::key_view *found = inSettingsIndex.findKey(digest);
+    if (found == nullptr || found->withdrawn
+        || inSettingsIndex.findAccount(found->account) == nullptr)
         return core::error{core::error_kind::unauthorized, "the key is not known or was withdrawn",
                            "use a valid key"};
     if (!inRoute.accounts.empty()
@@ -268,7 +269,7 @@
     return caller_identity{.account = found->account, .keyDigest = std::move(digest)};
 }
 
-core::result<run> buildRun(const settings::settings_index &inCatalog,
+core::result<run> buildRun(const settings::settings_index &inSettingsIndex,
                            const settings::route_view &inRoute, const received_request &inRequest,
                            std::size_t inMaxBodyBytes)
 {
@@ -284,7 +285,7 @@
              .trafficClass = inRoute.trafficClass,
              .streamIdle = inRoute.streamIdle};
     return inRoute.kind == settings::endpoint_kind::model
-        ? buildModelRun(inCatalog, inRequest, std::move(base))
+        ? buildModelRun(inSettingsIndex, inRequest, std::move(base))
         : buildServiceRun(inRequest, std::move(base));
 }
 
--- a/corneltally/entry/caller_request.h
+++ b/corneltally/entry/caller_request.h
@@ -44,13 +44,13 @@
 std::string_view bearerKey(const http::header_list &inHeaders);
 
 /// Finds the client account of the caller's key and checks that it may use the route.
-core::result<caller_identity> identifyCaller(const settings::settings_index &inCatalog,
+core::result<caller_identity> identifyCaller(const settings::settings_index &inSettingsIndex,
                                              const settings::route_view &inRoute,
                                              const http::header_list &inHeaders);
 
 /// Checks a request against its route and the settings, and builds the run from it. The request id,
 /// the account, the order id and the deadline are left for the caller to fill in.
-core::result<run> buildRun(const settings::settings_index &inCatalog,
+core::result<run> buildRun(const settings::settings_index &inSettingsIndex,
                            const settings::route_view &inRoute, const received_request &inRequest,
                            std::size_t inMaxBodyBytes = cMaxCallerBodyBytes);
 
--- a/corneltally/entry/claims_service.h
+++ b/corneltally/entry/claims_service.h
@@ -136,7 +136,7 @@
         poll();
     });
     mRegistry.handle<settings_changed>(name(), [this](const settings_changed &inChange) {
-        mCoordinator.setWindow(inChange.catalog->claimWindow());
+        mCoordinator.setWindow(inChange.settingsIndex->claimWindow());
     });
     mRegistry.handle<process_paused>(name(), [this](const process_paused &) { applyPause(); });
 }
--- a/corneltally/entry/daemon.cpp
+++ b/corneltally/entry/daemon.cpp
@@ -77,7 +77,7 @@
                                 .limits = callerLimits(inSettings.limits),
                                 .maxUnsentBytes
                                 = static_cast<std::size_t>(inSettings.limits.maxUnsentBytes),
-                                .keepFirstCatalog = inSettings.brokenGuard == "withdraw"})))
+                                .keepFirstSettings = inSettings.brokenGuard == "withdraw"})))
         , mOperatorApi(mRegistry.add(
               std::make_unique<operator_api_service>(mRegistry, mMetrics, inSettings.instanceName,
                                                      http::parseAddress(inSettings.operators))))
--- a/corneltally/entry/dispatch_service.cpp
+++ b/corneltally/entry/dispatch_service.cpp
@@ -75,7 +75,7 @@
             mDirectory.updateStatus(inReceived.message, core::boot_clock::now());
         });
     mRegistry.handle<settings_changed>(name(), [this](const settings_changed &inChange) {
-        mDirectory.setCatalog(inChange.catalog);
+        mDirectory.setSettingsIndex(inChange.settingsIndex);
     });
     mRegistry.handle<peers_changed>(
         name(), [this](const peers_changed &inChange) { applyPeers(inChange); });
--- a/corneltally/entry/endpoint_directory.cpp
+++ b/corneltally/entry/endpoint_directory.cpp
@@ -14,12 +14,14 @@
     : mInstance(std::move(inInstance))
 { }
 
-void endpoint_directory::setCatalog(std::shared_ptr<const settings::settings_index> inCatalog)
+void endpoint_directory::setSettingsIndex(
+    std::shared_ptr<const settings::settings_index> inSettingsIndex)
 {
-    mCatalog = std::move(inCatalog);
+    mSettingsIndex = std::move(inSettingsIndex);
     // Entries with outstanding requests are kept until these end.
     std::erase_if(mEntries, [&](const auto &inEntry) {
-        return inEntry.second.outstanding == 0 && mCatalog->findEndpoint(inEntry.first) == nullptr;
+        return inEntry.second.outstanding == 0
+            && mSettingsIndex->findEndpoint(inEntry.first) == nullptr;
     });
 }
 
@@ -68,12 +70,12 @@
 
 const settings::endpoint_view *endpoint_directory::find(std::string_view inEndpoint) const
 {
-    return mCatalog ? mCatalog->findEndpoint(inEndpoint) : nullptr;
+    return mSettingsIndex ? mSettingsIndex->findEndpoint(inEndpoint) : nullptr;
 }
 
 std::string endpoint_directory::failureDomain() const
 {
-    const settings::instance_view *self = mCatalog->findInstance(mInstance);
+    const settings::instance_view *self = mSettingsIndex->findInstance(mInstance);
     return self == nullptr ? std::string() : self->failureDomain;
 }
 
@@ -82,12 +84,12 @@
                                                                    core::time_point inNow,
                                                                    std::uint64_t inRandom)
 {
-    if (!mCatalog)
+    if (!mSettingsIndex)
         return std::nullopt;
     const std::string domain = failureDomain();
     const resident_adapter wanted{inRun.adapter, inRun.version};
     std::vector<scheduling::route_option> options;
-    for (const auto &[name, view] : mCatalog->endpoints()) {
+    for (const auto &[name, view] : mSettingsIndex->endpoints()) {
         const auto known = mEntries.find(name);
         if (view.kind != settings::endpoint_kind::model || view.baseModel != inRun.baseModel
             || view.leaving || inExcluded.contains(name) || known == mEntries.end()
@@ -124,12 +126,12 @@
                                                                      core::time_point inNow,
                                                                      std::uint64_t inRandom)
 {
-    if (!mCatalog)
+    if (!mSettingsIndex)
         return std::nullopt;
     const std::string domain = failureDomain();
-    const settings::route_view *route = mCatalog->findRoute(inRun.path);
+    const settings::route_view *route = mSettingsIndex->findRoute(inRun.path);
     std::vector<service_option> options;
-    for (const auto &[name, view] : mCatalog->endpoints()) {
+    for (const auto &[name, view] : mSettingsIndex->endpoints()) {
         if (view.kind != settings::endpoint_kind::service || view.leaving)
             continue;
         if (route != nullptr && !route->endpoints.empty()
--- a/corneltally/entry/endpoint_directory.h
+++ b/corneltally/entry/endpoint_directory.h
@@ -29,7 +29,7 @@
 
     explicit endpoint_directory(std::string inInstance);
 
-    void setCatalog(std::shared_ptr<const settings::settings_index> inCatalog);
+    void setSettingsIndex(std::shared_ptr<const settings::settings_index> inSettingsIndex);
     /// Sets the instances that accept runs and those that only finish their running ones.
     void setInstances(name_set inLive, name_set inDraining);
     /// Sets whether messages reach an instance; a live one may be disconnected temporarily.
@@ -74,7 +74,7 @@
     std::string failureDomain() const;
 
     std::string mInstance;
-    std::shared_ptr<const settings::settings_index> mCatalog;
+    std::shared_ptr<const settings::settings_index> mSettingsIndex;
     name_set mLive;
     name_set mDraining;
     name_set mDisconnected;
--- a/corneltally/entry/front_end_service.cpp
+++ b/corneltally/entry/front_end_service.cpp
@@ -73,7 +73,7 @@
     , mSweep(inRegistry.loop(), [this] { sweep(); })
 {
     mRegistry.handle<settings_changed>(
-        name(), [this](const settings_changed &inChange) { applyCatalog(inChange); });
+        name(), [this](const settings_changed &inChange) { applySettings(inChange); });
     mRegistry.handle<settings_confirmed>(name(), [this](const settings_confirmed &inConfirmed) {
         mSettingsConfirmedAt
             = std::max(inConfirmed.at, mSettingsConfirmedAt.value_or(inConfirmed.at));
@@ -129,20 +129,20 @@
 {
     if (inCaller->isClosed())
         return;
-    if (!mCatalog || mDrainReported) {
-        refuse(
-            inCaller,
-            notRun(core::error_kind::unavailable,
-                   mCatalog ? "the instance is shutting down" : "the settings are not loaded yet",
-                   "send the request to another instance"),
-            {});
+    if (!mSettingsIndex || mDrainReported) {
+        refuse(inCaller,
+               notRun(core::error_kind::unavailable,
+                      mSettingsIndex ? "the instance is shutting down"
+                                     : "the settings are not loaded yet",
+                      "send the request to another instance"),
+               {});
         return;
     }
     if (inCaller->path() == "/v1/models") {
         listModels(inCaller);
         return;
     }
-    const settings::route_view *route = mCatalog->findRoute(inCaller->path());
+    const settings::route_view *route = mSettingsIndex->findRoute(inCaller->path());
     if (route == nullptr) {
         refuse(inCaller,
                notRun(core::error_kind::not_found, "there is no route with this path",
@@ -151,7 +151,7 @@
         return;
     }
     const core::result<caller_identity> identity
-        = identifyCaller(*mCatalog, *route, inCaller->headers());
+        = identifyCaller(*mSettingsIndex, *route, inCaller->headers());
     if (!identity) {
         refuse(inCaller, {.error = identity.reason()}, {});
         return;
@@ -161,7 +161,7 @@
         return;
     }
     core::result<run> request
-        = buildRun(*mCatalog, *route,
+        = buildRun(*mSettingsIndex, *route,
                    {inCaller->method(), inCaller->path(), inCaller->body(), inCaller->headers()},
                    mOptions.limits.maxBodyBytes);
     if (!request) {
@@ -175,7 +175,7 @@
 
 std::optional<caller_error> front_end_service::checkSettingsAge(std::string_view inAccount) const
 {
-    const settings::account_view *account = mCatalog->findAccount(inAccount);
+    const settings::account_view *account = mSettingsIndex->findAccount(inAccount);
     if (account == nullptr || account->maxSettingsAgeSeconds <= 0)
         return std::nullopt;
     const auto limit = std::chrono::seconds(account->maxSettingsAgeSeconds);
@@ -190,12 +190,12 @@
 {
     static const settings::route_view sRoute{.name = "models", .path = "/v1/models"};
     const core::result<caller_identity> identity
-        = identifyCaller(*mCatalog, sRoute, inCaller->headers());
+        = identifyCaller(*mSettingsIndex, sRoute, inCaller->headers());
     if (!identity) {
         refuse(inCaller, {.error = identity.reason()}, {});
         return;
     }
-    inCaller->replyJson(200, modelListBody(*mCatalog), {{"X-Request-Id", nextRequestId()}});
+    inCaller->replyJson(200, modelListBody(*mSettingsIndex), {{"X-Request-Id", nextRequestId()}});
     trackUnsentAnswer(inCaller);
 }
 
@@ -210,7 +210,7 @@
                    {{"request_id", refused.request().requestId},
                     {"account", inAccount},
                     {"path",
-                     mCatalog && mCatalog->findRoute(inCaller->path()) != nullptr
+                     mSettingsIndex && mSettingsIndex->findRoute(inCaller->path()) != nullptr
                          ? std::string_view(inCaller->path())
                          : std::string_view()},
                     {"outcome", "refused"},
@@ -273,7 +273,7 @@
             return core::error{core::error_kind::invalid_request,
                                "Idempotency-Time is not a number of seconds",
                                "send the Unix time of the first attempt"};
-        if (std::time(nullptr) - seconds > mCatalog->claimWindow().count())
+        if (std::time(nullptr) - seconds > mSettingsIndex->claimWindow().count())
             return core::error{core::error_kind::conflict,
                                "the idempotency key is older than the claim window",
                                "find out whether the order ran before using a new key"};
@@ -521,16 +521,16 @@
     mUnsentAnswers.push_back({inCaller, inCaller->pendingBytes(), core::boot_clock::now()});
 }
 
-void front_end_service::applyCatalog(const settings_changed &inChange)
+void front_end_service::applySettings(const settings_changed &inChange)
 {
-    if (mOptions.keepFirstCatalog && mCatalog)
+    if (mOptions.keepFirstSettings && mSettingsIndex)
         return;
-    mCatalog = inChange.catalog;
+    mSettingsIndex = inChange.settingsIndex;
     std::vector<std::string> withdrawn;
     for (const auto &[id, running] : mRuns) {
         if (running->keyDigest.empty())
             continue;
-        const settings::key_view *key = mCatalog->findKey(running->keyDigest);
+        const settings::key_view *key = mSettingsIndex->findKey(running->keyDigest);
         // A call that was sent to an application service may have carried out an order, so that its
         // caller gets the result.
         const bool mayBeStopped = running->currentPhase != caller_run::phase::running
--- a/corneltally/entry/front_end_service.h
+++ b/corneltally/entry/front_end_service.h
@@ -44,7 +44,7 @@
     std::size_t maxUnsentBytes = 1024 * 1024;
     /// Ignores all changes of the settings after the first catalog, so that withdrawals of keys do
     /// not take effect; only for tests.
-    bool keepFirstCatalog = false;
+    bool keepFirstSettings = false;
 };
 
 /// Serves the callers: checks keys and requests, requests admission and idempotency claims, starts
@@ -101,7 +101,7 @@
     void complete(caller_run &ioRun, std::string_view inOutcome, std::string_view inEndpoint);
     void trackUnsentAnswer(const exchange_pointer &inCaller);
 
-    void applyCatalog(const settings_changed &inChange);
+    void applySettings(const settings_changed &inChange);
     void sweep();
     void closeStalledCallers(core::time_point inNow);
     void serveHeldRequests();
@@ -113,7 +113,7 @@
     front_end_options mOptions;
     http::server mServer;
     kernel::timer mSweep;
-    std::shared_ptr<const settings::settings_index> mCatalog;
+    std::shared_ptr<const settings::settings_index> mSettingsIndex;
     std::unordered_map<std::string, std::unique_ptr<caller_run>> mRuns;
     std::vector<unsent_answer> mUnsentAnswers;
     /// Requests that arrived after a pause and wait until the settings are confirmed to be current.
--- a/corneltally/entry/operator_api_service.cpp
+++ b/corneltally/entry/operator_api_service.cpp
@@ -22,8 +22,9 @@
     , mServer(inRegistry.loop(),
               [this](const std::shared_ptr<http::exchange> &inExchange) { serve(*inExchange); })
 {
-    mRegistry.handle<settings_changed>(
-        name(), [this](const settings_changed &inChange) { mCatalog = inChange.catalog; });
+    mRegistry.handle<settings_changed>(name(), [this](const settings_changed &inChange) {
+        mSettingsIndex = inChange.settingsIndex;
+    });
     mRegistry.handle<drain_started>(name(), [this](const drain_started &) { mDraining = true; });
 }
 
@@ -43,7 +44,7 @@
         serveReadiness(ioExchange);
     } else if (path == "/metrics") {
         mMetrics.setGauge("settings_version",
-                          mCatalog ? static_cast<double>(mCatalog->version()) : 0);
+                          mSettingsIndex ? static_cast<double>(mSettingsIndex->version()) : 0);
         ioExchange.reply(200, {{"Content-Type", "text/plain; version=0.0.4"}}, mMetrics.toText());
     } else if (path == "/dump") {
         ioExchange.replyJson(200, mRegistry.dumpAll());
@@ -51,8 +52,8 @@
         ioExchange.replyJson(200,
                              "{\"instance\":\"" + core::jsonEscape(mInstance)
                                  + "\",\"settings_version\":"
-                                 + std::to_string(mCatalog ? mCatalog->version() : 0)
-                                 + ",\"loaded\":" + (mCatalog ? "true" : "false")
+                                 + std::to_string(mSettingsIndex ? mSettingsIndex->version() : 0)
+                                 + ",\"loaded\":" + (mSettingsIndex ? "true" : "false")
                                  + ",\"draining\":" + (mDraining ? "true" : "false") + "}");
     } else {
         ioExchange.replyJson(404,
@@ -64,7 +65,7 @@
 {
     if (mDraining)
         ioExchange.replyJson(503, R"({"ready":false,"reason":"draining"})");
-    else if (!mCatalog)
+    else if (!mSettingsIndex)
         ioExchange.replyJson(503, R"({"ready":false,"reason":"the settings are not loaded"})");
     else if (core::boot_clock::now() - mStartedAt < limits::fleet_share::cLoanDuration)
         // A new process may not use its share of the rates yet and would reject its callers.
--- a/corneltally/entry/operator_api_service.h
+++ b/corneltally/entry/operator_api_service.h
@@ -42,7 +42,7 @@
     std::string mInstance;
     http::address mListen;
     http::server mServer;
-    std::shared_ptr<const settings::settings_index> mCatalog;
+    std::shared_ptr<const settings::settings_index> mSettingsIndex;
     core::time_point mStartedAt = core::boot_clock::now();
     bool mDraining = false;
 };
--- a/corneltally/entry/owner_service.cpp
+++ b/corneltally/entry/owner_service.cpp
@@ -45,7 +45,7 @@
 void owner_service::handleMessages()
 {
     mRegistry.handle<settings_changed>(
-        name(), [this](const settings_changed &inChange) { applyCatalog(inChange); });
+        name(), [this](const settings_changed &inChange) { applySettings(inChange); });
     mRegistry.handle<peers_changed>(
         name(), [this](const peers_changed &inChange) { applyPeers(inChange); });
     mRegistry.handle<peer_connected>(name(), [this](const peer_connected &inConnected) {
@@ -83,11 +83,11 @@
     mTick.startRepeating(cTickPeriod);
 }
 
-void owner_service::applyCatalog(const settings_changed &inChange)
+void owner_service::applySettings(const settings_changed &inChange)
 {
-    mCatalog = inChange.catalog;
+    mSettingsIndex = inChange.settingsIndex;
     for (auto &[endpoint, entry] : mOwned) {
-        const settings::endpoint_view *view = mCatalog->findEndpoint(endpoint);
+        const settings::endpoint_view *view = mSettingsIndex->findEndpoint(endpoint);
         entry.obsolete = view == nullptr || view->address != entry.address
             || view->kind != settings::endpoint_kind::model;
     }
@@ -120,7 +120,7 @@
     std::vector<ownership::owner_candidate> found;
     found.reserve(mPeers.live.size());
     for (const std::string &instance : mPeers.live) {
-        if (const settings::instance_view *view = mCatalog->findInstance(instance))
+        if (const settings::instance_view *view = mSettingsIndex->findInstance(instance))
             found.push_back({instance, view->failureDomain});
     }
     return found;
@@ -128,10 +128,10 @@
 
 void owner_service::chooseEndpoints()
 {
-    if (!mCatalog)
+    if (!mSettingsIndex)
         return;
     const std::vector<ownership::owner_candidate> live = candidates();
-    for (const auto &[name, view] : mCatalog->endpoints()) {
+    for (const auto &[name, view] : mSettingsIndex->endpoints()) {
         const auto owner = ownership::chooseOwner(name, view.failureDomain, live);
         const bool assigned = !mDraining && view.kind == settings::endpoint_kind::model
             && owner == mOptions.instance;
@@ -165,10 +165,11 @@
         if (known != mKnownFences.end())
             entry.state->observeFence(known->second);
     }
-    const auto self = mCatalog->instances().find(mOptions.instance);
-    const auto slot = std::distance(mCatalog->instances().begin(), self);
-    entry.state->configure(inView, static_cast<std::size_t>(std::max(1, mCatalog->maxQueue())),
-                           mCatalog->patientMaxWait(), static_cast<std::uint64_t>(slot));
+    const auto self = mSettingsIndex->instances().find(mOptions.instance);
+    const auto slot = std::distance(mSettingsIndex->instances().begin(), self);
+    entry.state->configure(inView,
+                           static_cast<std::size_t>(std::max(1, mSettingsIndex->maxQueue())),
+                           mSettingsIndex->patientMaxWait(), static_cast<std::uint64_t>(slot));
     entry.state->setAssigned(true);
 }
 
@@ -179,7 +180,7 @@
                                 run_event inEvent) { sendEvent(inOrigin, std::move(inEvent)); },
             .accountWeight =
                 [this](const std::string &inAccount) {
-                    const settings::account_view *account = mCatalog->findAccount(inAccount);
+                    const settings::account_view *account = mSettingsIndex->findAccount(inAccount);
                     return account == nullptr ? 1.0 : account->weight;
                 },
             .admitLoad =
--- a/corneltally/entry/owner_service.h
+++ b/corneltally/entry/owner_service.h
@@ -63,7 +63,7 @@
     };
 
     void handleMessages();
-    void applyCatalog(const settings_changed &inChange);
+    void applySettings(const settings_changed &inChange);
     void applyPeers(const peers_changed &inChange);
     void startDrain();
     void submit(const run_submit &inSubmit);
@@ -87,7 +87,7 @@
 
     kernel::service_registry &mRegistry;
     owner_options mOptions;
-    std::shared_ptr<const settings::settings_index> mCatalog;
+    std::shared_ptr<const settings::settings_index> mSettingsIndex;
     peers_changed mPeers;
     std::map<std::string, owned_entry, std::less<>> mOwned;
     /// Highest fencing number that peers published for each endpoint.
--- a/corneltally/entry/peers_service.cpp
+++ b/corneltally/entry/peers_service.cpp
@@ -63,7 +63,7 @@
 {
     mRegistry.handle<peer_send>(name(), [this](const peer_send &inSend) { send(inSend); });
     mRegistry.handle<settings_changed>(
-        name(), [this](const settings_changed &inChange) { applyCatalog(inChange); });
+        name(), [this](const settings_changed &inChange) { applySettings(inChange); });
     mRegistry.handle<process_paused>(name(), [this](const process_paused &) {
         // Silence during a pause of this process does not show that peers are down.
         mViewHoldUntil = core::boot_clock::now() + cViewHold;
@@ -98,12 +98,12 @@
     mTick.startRepeating(cTickPeriod);
 }
 
-void peers_service::applyCatalog(const settings_changed &inChange)
+void peers_service::applySettings(const settings_changed &inChange)
 {
-    mSettingsVersion = inChange.catalog->version();
+    mSettingsVersion = inChange.settingsIndex->version();
     std::vector<std::string> names;
     std::map<std::string, remote, std::less<>> remotes;
-    for (const auto &[instance, view] : inChange.catalog->instances()) {
+    for (const auto &[instance, view] : inChange.settingsIndex->instances()) {
         names.push_back(instance);
         if (instance == mOptions.instance)
             continue;
--- a/corneltally/entry/peers_service.h
+++ b/corneltally/entry/peers_service.h
@@ -94,7 +94,7 @@
     void send(const peer_send &inSend);
     bool sendTo(const std::string &inInstance, std::string_view inBody);
     void reportLost(const std::string &inInstance);
-    void applyCatalog(const settings_changed &inChange);
+    void applySettings(const settings_changed &inChange);
     std::string encodeHello(const std::string &inInstance) const;
 
     kernel::service_registry &mRegistry;
--- a/corneltally/entry/settings_messages.h
+++ b/corneltally/entry/settings_messages.h
@@ -17,7 +17,7 @@
 /// services; shared since the settings are immutable and large.
 struct settings_changed
 {
-    std::shared_ptr<const settings::settings_index> catalog;
+    std::shared_ptr<const settings::settings_index> settingsIndex;
 };
 
 /// Names of the processes that the platform reports as leaving. The settings_sync service marks the
--- a/corneltally/entry/settings_sync_service.h
+++ b/corneltally/entry/settings_sync_service.h
@@ -72,7 +72,7 @@
     core::duration mRetryDelay;
     std::optional<std::uint64_t> mPublished;
     /// The current settings; their successor shares the unchanged parts.
-    std::shared_ptr<const settings::settings_index> mCatalog;
+    std::shared_ptr<const settings::settings_index> mSettingsIndex;
     std::optional<core::time_point> mConfirmed;
     /// When the log itself last confirmed the tree.
     std::optional<core::time_point> mLogConfirmed;
@@ -353,20 +353,20 @@
         return;
     mPublished = tree.version();
     core::logEvent(core::log_level::info, "settings_in_force", {{"version", tree.version()}});
-    mCatalog = std::make_shared<const settings::settings_index>(tree, mOptions.endpointAddresses,
-                                                                mCatalog.get());
+    mSettingsIndex = std::make_shared<const settings::settings_index>(
+        tree, mOptions.endpointAddresses, mSettingsIndex.get());
     broadcastSettings();
 }
 
 template <platform::log_service Log>
 void settings_sync_service<Log>::broadcastSettings()
 {
-    if (!mCatalog)
+    if (!mSettingsIndex)
         return;
-    mRegistry.broadcast(settings_changed{
-        mLeaving.empty()
-            ? mCatalog
-            : std::make_shared<const settings::settings_index>(mCatalog->withLeaving(mLeaving))});
+    mRegistry.broadcast(settings_changed{mLeaving.empty()
+                                             ? mSettingsIndex
+                                             : std::make_shared<const settings::settings_index>(
+                                                 mSettingsIndex->withLeaving(mLeaving))});
 }
 
 template <platform::log_service Log>
--- a/tests/integration/owner_service_test.cpp
+++ b/tests/integration/owner_service_test.cpp
@@ -37,7 +37,7 @@
 }
 
 std::shared_ptr<const settings::settings_index>
-catalogOf(const std::string &inEngineAddress, bool inChecksFencing, bool inLeaving = false)
+settingsIndexOf(const std::string &inEngineAddress, bool inChecksFencing, bool inLeaving = false)
 {
     std::string text = R"(
 [instances.entry-1]
@@ -205,7 +205,7 @@
 {
     owner_test test({"--adapter-slots", "2", "--token-ms", "1", "--load-ms", "20"});
     instance entry(test.loop, "entry-1", test.platformAddress());
-    entry.registry.broadcast(settings_changed{catalogOf(test.engine.address("http"), true)});
+    entry.registry.broadcast(settings_changed{settingsIndexOf(test.engine.address("http"), true)});
     entry.registry.broadcast(peers_changed{{"entry-1"}, {}});
     test.waitFor([&] { return entry.isAccepting(); });
     CHECK(entry.statuses.back().fence >= 1024);
@@ -234,7 +234,7 @@
 {
     owner_test test({"--resident", "a@1", "--token-ms", "10"});
     instance entry(test.loop, "entry-1", test.platformAddress());
-    entry.registry.broadcast(settings_changed{catalogOf(test.engine.address("http"), true)});
+    entry.registry.broadcast(settings_changed{settingsIndexOf(test.engine.address("http"), true)});
     entry.registry.broadcast(peers_changed{{"entry-1"}, {}});
     test.waitFor([&] { return entry.isAccepting(); });
     entry.submit("r", "a", 60);
@@ -250,11 +250,11 @@
 TEST_CASE("an owner that is not wanted any more hands a stream over to the next one")
 {
     owner_test test({"--resident", "a@1", "--token-ms", "10"});
-    const auto catalog = catalogOf(test.engine.address("http"), true);
+    const auto settingsIndex = settingsIndexOf(test.engine.address("http"), true);
     instance first(test.loop, "entry-1", test.platformAddress());
     instance second(test.loop, "entry-2", test.platformAddress());
     for (instance *entry : {&first, &second})
-        entry->registry.broadcast(settings_changed{catalog});
+        entry->registry.broadcast(settings_changed{settingsIndex});
     first.registry.broadcast(peers_changed{{"entry-1"}, {}});
     test.waitFor([&] { return first.isAccepting(); });
     first.submit("r", "a", 100);
@@ -279,10 +279,10 @@
 {
     owner_test test({"--resident", "a@1", "--token-ms", "1"});
     instance entry(test.loop, "entry-1", test.platformAddress());
-    entry.registry.broadcast(settings_changed{catalogOf(test.engine.address("http"), true)});
+    entry.registry.broadcast(settings_changed{settingsIndexOf(test.engine.address("http"), true)});
     entry.registry.broadcast(peers_changed{{"entry-1", "entry-2"}, {}});
     instance other(test.loop, "entry-2", test.platformAddress());
-    other.registry.broadcast(settings_changed{catalogOf(test.engine.address("http"), true)});
+    other.registry.broadcast(settings_changed{settingsIndexOf(test.engine.address("http"), true)});
     other.registry.broadcast(peers_changed{{"entry-1", "entry-2"}, {}});
     test.waitFor([&] { return entry.isAccepting() || other.isAccepting(); });
     // Exactly one of two instances with the same view owns the endpoint.
@@ -306,7 +306,7 @@
 {
     owner_test test({"--ignore-fence", "--resident", "a@1", "--token-ms", "1", "--load-ms", "10"});
     instance entry(test.loop, "entry-1", test.platformAddress());
-    entry.registry.broadcast(settings_changed{catalogOf(test.engine.address("http"), false)});
+    entry.registry.broadcast(settings_changed{settingsIndexOf(test.engine.address("http"), false)});
     entry.registry.broadcast(peers_changed{{"entry-1"}, {}});
     test.waitFor([&] { return entry.isAccepting(); });
     entry.submit("warm", "a", 3);
@@ -323,7 +323,7 @@
 {
     owner_test test({"--resident", "a@1", "--token-ms", "10"});
     instance entry(test.loop, "entry-1", test.platformAddress());
-    entry.registry.broadcast(settings_changed{catalogOf(test.engine.address("http"), true)});
+    entry.registry.broadcast(settings_changed{settingsIndexOf(test.engine.address("http"), true)});
     entry.registry.broadcast(peers_changed{{"entry-1"}, {}});
     test.waitFor([&] { return entry.isAccepting(); });
     for (int index = 0; index < 6; ++index)
@@ -347,12 +347,13 @@
 {
     owner_test test({"--resident", "a@1", "--token-ms", "10"});
     instance entry(test.loop, "entry-1", test.platformAddress());
-    entry.registry.broadcast(settings_changed{catalogOf(test.engine.address("http"), true)});
+    entry.registry.broadcast(settings_changed{settingsIndexOf(test.engine.address("http"), true)});
     entry.registry.broadcast(peers_changed{{"entry-1"}, {}});
     test.waitFor([&] { return entry.isAccepting(); });
     entry.submit("r", "a", 40);
     test.waitFor([&] { return entry.partsOf("r").size() >= 5; });
-    entry.registry.broadcast(settings_changed{catalogOf(test.engine.address("http"), true, true)});
+    entry.registry.broadcast(
+        settings_changed{settingsIndexOf(test.engine.address("http"), true, true)});
     test.waitFor([&] { return !entry.isAccepting(); });
     entry.submit("late", "a", 5);
     test.waitFor([&] { return entry.endOf("r") && entry.endOf("late"); });
@@ -366,7 +367,7 @@
     const std::string address = test.engine.address("http");
     const std::string port = address.substr(address.rfind(':') + 1);
     instance entry(test.loop, "entry-1", test.platformAddress());
-    entry.registry.broadcast(settings_changed{catalogOf(address, true)});
+    entry.registry.broadcast(settings_changed{settingsIndexOf(address, true)});
     entry.registry.broadcast(peers_changed{{"entry-1"}, {}});
     test.waitFor([&] { return entry.isAccepting(); });
     entry.submit("lost", "a", 400);
@@ -381,7 +382,7 @@
     // A replacement has another address, which the tree names.
     child_process replacement
         = startProcess("standin_engine", {"--token-ms", "1", "--load-ms", "10"});
-    entry.registry.broadcast(settings_changed{catalogOf(replacement.address("http"), true)});
+    entry.registry.broadcast(settings_changed{settingsIndexOf(replacement.address("http"), true)});
     test.waitFor([&] { return entry.isAccepting(); });
     entry.submit("again", "a", 5);
     test.waitFor([&] { return entry.endOf("again").has_value(); });
--- a/tests/unit/entry_caller_request_test.cpp
+++ b/tests/unit/entry_caller_request_test.cpp
@@ -18,7 +18,7 @@
 const std::string cKey = "key-of-harbour-0001";
 const std::string cWithdrawnKey = "key-of-harbour-0002";
 
-settings::settings_index makeCatalog()
+settings::settings_index makeSettingsIndex()
 {
     const std::string text = R"(
 [accounts]
@@ -61,8 +61,9 @@
                         const http::header_list &inHeaders = cHeaders,
                         const std::string &inMethod = "POST")
 {
-    static const settings::settings_index sCatalog = makeCatalog();
-    return buildRun(sCatalog, *sCatalog.findRoute(inPath), {inMethod, inPath, inBody, inHeaders});
+    static const settings::settings_index sSettingsIndex = makeSettingsIndex();
+    return buildRun(sSettingsIndex, *sSettingsIndex.findRoute(inPath),
+                    {inMethod, inPath, inBody, inHeaders});
 }
 
 core::error_kind kindOf(const core::result<run> &inResult)
@@ -76,9 +77,9 @@
 
 TEST_CASE("a key identifies its client account until it is withdrawn")
 {
-    const settings::settings_index catalog = makeCatalog();
-    const settings::route_view &route = *catalog.findRoute("/v1/completions");
-    const auto identity = identifyCaller(catalog, route, cHeaders);
+    const settings::settings_index settingsIndex = makeSettingsIndex();
+    const settings::route_view &route = *settingsIndex.findRoute("/v1/completions");
+    const auto identity = identifyCaller(settingsIndex, route, cHeaders);
     REQUIRE(identity.hasValue());
     CHECK(identity->account == "harbour");
     CHECK(identity->keyDigest == core::sha256Hex(cKey));
@@ -87,7 +88,7 @@
           http::header_list{{"Authorization", "Bearer " + cWithdrawnKey}},
           http::header_list{{"Authorization", "Bearer "}},
           http::header_list{{"Authorization", cKey}}}) {
-        const auto refused = identifyCaller(catalog, route, headers);
+        const auto refused = identifyCaller(settingsIndex, route, headers);
         REQUIRE_FALSE(refused.hasValue());
         CHECK(refused.reason().kind == core::error_kind::unauthorized);
     }
@@ -95,11 +96,12 @@
 
 TEST_CASE("a route refuses client accounts that it does not list, and open routes need no key")
 {
-    const settings::settings_index catalog = makeCatalog();
-    const auto refused = identifyCaller(catalog, *catalog.findRoute("/orders"), cHeaders);
+    const settings::settings_index settingsIndex = makeSettingsIndex();
+    const auto refused
+        = identifyCaller(settingsIndex, *settingsIndex.findRoute("/orders"), cHeaders);
     REQUIRE_FALSE(refused.hasValue());
     CHECK(refused.reason().kind == core::error_kind::forbidden);
-    const auto open = identifyCaller(catalog, *catalog.findRoute("/status"), {});
+    const auto open = identifyCaller(settingsIndex, *settingsIndex.findRoute("/status"), {});
     REQUIRE(open.hasValue());
     CHECK(open->account.empty());
 }
--- a/tests/unit/entry_datapath_test.cpp
+++ b/tests/unit/entry_datapath_test.cpp
@@ -226,10 +226,10 @@
         const auto tree = settings::settings_tree::sFromToml(text, "tree.toml");
         INFO((tree ? std::string() : tree.reason().message));
         REQUIRE(tree.hasValue());
-        const auto catalog = std::make_shared<const settings::settings_index>(*tree);
+        const auto settingsIndex = std::make_shared<const settings::settings_index>(*tree);
         for (instance *target : {north.get(), south.get()}) {
             if (target != nullptr)
-                target->registry->broadcast(settings_changed{catalog});
+                target->registry->broadcast(settings_changed{settingsIndex});
         }
     }
 
--- a/tests/unit/settings_sync_test.cpp
+++ b/tests/unit/settings_sync_test.cpp
@@ -111,7 +111,7 @@
     bool peersReachable = true;
     kernel::service_registry registry;
     sync_service *sync = nullptr;
-    std::shared_ptr<const settings::settings_index> catalog;
+    std::shared_ptr<const settings::settings_index> settingsIndex;
     std::vector<std::uint64_t> versions;
     std::optional<core::time_point> confirmed;
 
@@ -127,8 +127,8 @@
         sync = &registry.add(std::make_unique<sync_service>(
             registry, std::make_unique<mock_log>(inLoop, inLog, logReachable), options));
         registry.handle<entry::settings_changed>("observer", [this](const auto &inChange) {
-            catalog = inChange.catalog;
-            versions.push_back(catalog->version());
+            settingsIndex = inChange.settingsIndex;
+            versions.push_back(settingsIndex->version());
         });
         registry.handle<entry::settings_confirmed>(
             "observer", [this](const auto &inMessage) { confirmed = inMessage.at; });
@@ -136,7 +136,7 @@
 
     std::string adapterVersion() const
     {
-        const auto *found = catalog ? catalog->findAdapter("tone") : nullptr;
+        const auto *found = settingsIndex ? settingsIndex->findAdapter("tone") : nullptr;
         return found == nullptr ? "" : found->version;
     }
 };
