--- a/corneltally/entry/front_end_service.h
+++ b/corneltally/entry/front_end_service.h
@@ -42,7 +42,7 @@
     http::server_limits limits;
     /// Bytes of an answer that a caller may leave unread before its connection is closed.
     std::size_t maxUnsentBytes = 1024 * 1024;
-    /// Ignores all changes of the settings after the first catalog, so that withdrawals of keys do
+    /// Ignores all changes of the settings after the first version, so that withdrawals of keys do
     /// not take effect; only for tests.
     bool keepFirstSettings = false;
 };
