--- a/corneltally/forwarding/forwarded_request.cpp
+++ b/corneltally/forwarding/forwarded_request.cpp
@@ -54,7 +54,7 @@
 {
     mTerms = platform::decodeRequest(mRequest.head);
     if (!mTable) {
-        refuse(503, "no configuration has been received yet", retryAfter());
+        refuse(503, "no configuration is known yet", retryAfter());
         return;
     }
     if (!resolveRoute() || !admit())
@@ -66,18 +66,18 @@
 bool forwarded_request::resolveRoute()
 {
     if (mTerms.requestId.empty()) {
-        refuse(400, "the request has no request id");
+        refuse(400, "the request has no id");
         return false;
     }
     mRoute = mTable->findRoute(mTerms.host, mRequest.head.target);
     if (mRoute == nullptr) {
-        refuse(404, "no route matches the host and path");
+        refuse(404, "no route has this host and path");
         return false;
     }
     const routing::client_account *account
         = mTerms.key.empty() ? nullptr : mTable->findAccountByKey(mTerms.key);
     if (account == nullptr && mTable->source().keysRequired && !mRoute->open) {
-        refuse(401, "unknown key");
+        refuse(401, "the key is unknown");
         return false;
     }
     mPriority = mRoute->priority;
@@ -115,7 +115,7 @@
                                          : account->defaultTokens;
         if (!mContext.allowance.tryCharge(mAccount, amount, now)) {
             const core::duration wait = mContext.allowance.timeUntil(mAccount, amount, now);
-            refuse(429, "the account exceeds its rate",
+            refuse(429, "the account is beyond its rate",
                    std::max<core::duration>(wait, mContext.settings.minRetryAfter));
             return false;
         }
@@ -382,7 +382,7 @@
     if (mState == state::done)
         return;
     if (mAnswerStarted) {
-        abortAnswer("the timeout of the route has passed");
+        abortAnswer("the time of the route is over");
         return;
     }
     if (mState == state::sent) {
@@ -395,9 +395,9 @@
             mRunState = run_state::unknown;
     }
     if (mRunState == run_state::not_run)
-        refuseBusy("the deadline of the request has passed");
+        refuseBusy("the time is over");
     else
-        answerUnknown("the deadline of the request has passed");
+        answerUnknown("the time is over");
 }
 
 void forwarded_request::cancelAttempt()
--- a/corneltally/forwarding/forwarded_request_answer.cpp
+++ b/corneltally/forwarding/forwarded_request_answer.cpp
@@ -25,9 +25,8 @@
 {
     const std::string_view remedy = inStatus == 401 ? "send a valid key"
         : inStatus == 404                           ? "use the host and path of a route"
-        : inStatus == 429 || inStatus == 503
-        ? "retry after the stated time"
-        : "find out whether the request ran before repeating it";
+        : inStatus == 429 || inStatus == 503        ? "come back after the time that is stated"
+                                                    : "find out whether it ran before repeating it";
     std::string body = R"({"error":{"status":)" + std::to_string(inStatus);
     body.append(R"(,"run":")").append(toString(inState));
     body.append(R"(","message":")").append(core::jsonEscape(inReason));
@@ -176,7 +175,7 @@
     // To callers these statuses mean that the request has not run, which the endpoint did not
     // state.
     if (status == 408 || status == 429 || status == 503) {
-        answerUnknown("the endpoint did not state whether the request ran");
+        answerUnknown("the endpoint gave no clear answer");
         return;
     }
     beginAnswer(mBody.size());
