--- a/corneltally/core/json_log.cpp
+++ b/corneltally/core/json_log.cpp
@@ -16,6 +16,7 @@
 
 std::string sInstance;
 log_output sOutput = log_output::standard_error;
+/// Lines that were dropped, or written only in part, and are not reported yet.
 std::uint64_t sDroppedLines = 0;
 
 std::string timestamp()
@@ -59,7 +60,8 @@
 }
 
 /// Writes a line without blocking, or drops it if the pipe is full. If the pipe takes only a part
-/// of a line, the next write ends that line first.
+/// of a line, the next write first ends that line with a line feed. A line that reports the number
+/// of dropped lines precedes the next line that is written.
 void writeNonBlocking(std::string_view inLine)
 {
     static bool sPartialLine = false;
@@ -88,6 +90,7 @@
         std::fwrite(inLine.data(), 1, inLine.size(), stderr);
 }
 
+/// Writes an event as one JSON object and a line feed, with its fields after the fixed ones.
 void writeLine(log_level inLevel, std::string_view inEvent,
                std::initializer_list<log_field> inFields)
 {
--- a/corneltally/engines/endpoint_table.cpp
+++ b/corneltally/engines/endpoint_table.cpp
@@ -21,16 +21,17 @@
     }
 }
 
-/// Updates the warm adapters: those that are no longer resident are added, those that are resident
-/// or arriving again are dropped.
-void recordUnloaded(endpoint &ioEndpoint, const residency &inNext)
+/// Updates the warm adapters before inReported replaces the endpoint's adapters: resident adapters
+/// that the report no longer has are added, those that it has again are dropped. Beyond
+/// sWarmAdapters, those that were unloaded first are dropped.
+void recordUnloaded(endpoint &ioEndpoint, const residency &inReported)
 {
-    const auto isKept = [&](const std::string &inAdapter) {
-        return inNext.resident.contains(inAdapter) || inNext.arriving.contains(inAdapter);
+    const auto isReported = [&](const std::string &inAdapter) {
+        return inReported.resident.contains(inAdapter) || inReported.arriving.contains(inAdapter);
     };
-    std::erase_if(ioEndpoint.warm, isKept);
+    std::erase_if(ioEndpoint.warm, isReported);
     for (const auto &[adapter, version] : ioEndpoint.adapters.resident) {
-        if (!isKept(adapter))
+        if (!isReported(adapter))
             ioEndpoint.warm.push_back(adapter);
     }
     if (ioEndpoint.warm.size() > endpoint_table::sWarmAdapters)
--- a/corneltally/entry/settings_sync_service.h
+++ b/corneltally/entry/settings_sync_service.h
@@ -70,16 +70,20 @@
     bool mLogReachable = false;
     bool mLogEndSeen = false;
     core::duration mRetryDelay;
+    /// Version that was last broadcast to the services; the tree may be newer while further
+    /// records are being read or are missing.
     std::optional<std::uint64_t> mPublished;
     /// The current settings; their successor shares the unchanged parts.
     std::shared_ptr<const settings::settings_index> mSettingsIndex;
+    /// When the log or a peer last confirmed that the tree is up to date with the log.
     std::optional<core::time_point> mConfirmed;
-    /// When the log itself last confirmed the tree.
+    /// When the log itself last confirmed this.
     std::optional<core::time_point> mLogConfirmed;
     std::vector<std::string> mLive;
     std::set<std::string, std::less<>> mLeaving;
     std::vector<std::string> mSnapshotParts;
     std::optional<core::time_point> mNextSnapshot;
+    /// Changes accepted and rejected since the start of the process, with those of the history.
     std::uint64_t mAccepted = 0;
     std::uint64_t mRejected = 0;
     std::string mLastRejection;
@@ -434,7 +438,7 @@
 std::string settings_sync_service<Log>::dump() const
 {
     const core::time_point now = core::boot_clock::now();
-    const auto age = [&](const std::optional<core::time_point> &inTime) {
+    const auto ageMs = [&](const std::optional<core::time_point> &inTime) {
         return inTime ? std::to_string((now - *inTime).count() / 1000) : std::string("null");
     };
     std::string text = "{\"version\":" + std::to_string(mReplica.tree().version());
@@ -442,8 +446,8 @@
     text += ",\"next_offset\":" + std::to_string(mReplica.nextOffset());
     text += std::string(",\"gap\":") + (mReplica.hasGap() ? "true" : "false");
     text += std::string(",\"log_reachable\":") + (mLogReachable ? "true" : "false");
-    text += ",\"confirmed_age_ms\":" + age(mConfirmed);
-    text += ",\"log_confirmed_age_ms\":" + age(mLogConfirmed);
+    text += ",\"confirmed_age_ms\":" + ageMs(mConfirmed);
+    text += ",\"log_confirmed_age_ms\":" + ageMs(mLogConfirmed);
     text += ",\"nodes\":" + std::to_string(mReplica.tree().nodes().size());
     text += ",\"accepted\":" + std::to_string(mAccepted);
     text += ",\"rejected\":" + std::to_string(mRejected);
--- a/corneltally/http/exchange.h
+++ b/corneltally/http/exchange.h
@@ -22,6 +22,8 @@
     exchange(const exchange &) = delete;
     exchange &operator=(const exchange &) = delete;
 
+    /// Method in upper case; "UNKNOWN" for any other than GET, HEAD, POST, PUT, DELETE,
+    /// PATCH and OPTIONS.
     const std::string &method() const { return mMethod; }
     /// Path without the query.
     const std::string &path() const { return mPath; }
--- a/corneltally/limits/fleet_allowance.cpp
+++ b/corneltally/limits/fleet_allowance.cpp
@@ -71,6 +71,7 @@
         // Negative if the peer refunded more than it charged since its last totals.
         const double used = isFirst ? 0 : use.amount - known;
         known = use.amount;
+        // The total of an unknown account is kept as its baseline, in case it is configured later.
         if (found == mAccounts.end())
             continue;
         account_state &account = found->second;
--- a/corneltally/limits/fleet_allowance.h
+++ b/corneltally/limits/fleet_allowance.h
@@ -42,7 +42,9 @@
     /// Sets the other instances that may be admitting requests.
     void setPeers(const std::vector<std::string> &inPeers, core::time_point inNow);
 
-    /// Applies the totals of a peer; they restart from zero with a new incarnation.
+    /// For each listed account, returns what was reserved for the peer while it was silent and
+    /// subtracts what it charged since its last totals. Totals restart from zero with a new
+    /// incarnation, which is a new start of the peer's process.
     void applyPeerTotals(const std::string &inPeer, std::uint64_t inIncarnation,
                          const std::vector<account_use> &inUses, core::time_point inNow);
 
@@ -66,12 +68,15 @@
     {
         std::uint64_t incarnation = 0;
         std::optional<core::time_point> lastReceivedAt;
+        /// Last totals received, by account.
         std::map<std::string, double, std::less<>> totals;
     };
     struct account_state
     {
         double rate = 0;
         double burst = 0;
+        /// Amount left to charge; negative after a charge larger than the burst, or if peers
+        /// charged more than was left.
         double level = 0;
         double ownTotal = 0;
         core::time_point updated;
--- a/corneltally/membership/peer_table.cpp
+++ b/corneltally/membership/peer_table.cpp
@@ -100,10 +100,10 @@
         const peer_state state = sStateOf(peer, inNow);
         if (state != peer_state::live && state != peer_state::suspect)
             continue;
-        const core::time_point change
+        const core::time_point changeAt
             = *peer.lastProgress + (state == peer_state::live ? cSuspectAfter : cDownAfter);
-        if (!earliest || change < *earliest)
-            earliest = change;
+        if (!earliest || changeAt < *earliest)
+            earliest = changeAt;
     }
     return earliest;
 }
--- a/corneltally/membership/peer_table.h
+++ b/corneltally/membership/peer_table.h
@@ -52,6 +52,7 @@
     struct entry
     {
         std::uint64_t incarnation = 0;
+        /// When a message or bytes were last received; empty while the peer is unknown.
         std::optional<core::time_point> lastProgress;
         /// Stays set for the rest of the incarnation.
         bool draining = false;
@@ -99,8 +100,9 @@
     /// Returns the peers in a state, ordered by name.
     std::vector<std::string> peersIn(peer_state inState, core::time_point inNow) const;
 
-    /// Earliest time at which a state changes if no peer makes progress; none if no peer is live or
-    /// suspect.
+    /// Earliest time at which a live peer becomes suspect or a suspect one down if no peer makes
+    /// progress; nullopt if no peer is live or suspect. Unknown and down peers change their state
+    /// only by progress.
     std::optional<core::time_point> nextChange(core::time_point inNow) const;
 
     const std::map<std::string, entry, std::less<>> &entries() const { return mEntries; }
--- a/corneltally/orders/order_service.cpp
+++ b/corneltally/orders/order_service.cpp
@@ -273,16 +273,19 @@
            });
 }
 
+/// Appends the claims that this instance should make, and the removals of its obsolete ones, in one
+/// request. A claim must rest on a recent read of the fleet topic, so without one it first requests
+/// a poll. The append is refused if another one has moved the end of the topic.
 void order_service::claimEngines(core::time_point inNow)
 {
     if (mAppendInFlight || !mTopicLoaded || inNow < mClaimNotBefore)
         return;
-    const std::vector<fleet::fleet_node> existing = knownEngines();
+    const std::vector<fleet::fleet_node> existingEngines = knownEngines();
     std::vector<store::record> records;
-    for (const std::string &engine : mClaims.enginesToClaim(existing, mLive, inNow))
+    for (const std::string &engine : mClaims.enginesToClaim(existingEngines, mLive, inNow))
         records.push_back(fleet::claimRecord(engine, mOptions.self));
     const core::duration delay = records.empty() ? cObsoleteClaimDelay : claimDelay();
-    for (const std::string &engine : mClaims.obsoleteClaims(existing))
+    for (const std::string &engine : mClaims.obsoleteClaims(existingEngines))
         records.push_back(fleet::removedClaim(engine));
     if (records.empty()) {
         mClaimDueAt.reset();
--- a/corneltally/orders/order_service.h
+++ b/corneltally/orders/order_service.h
@@ -98,6 +98,7 @@
     std::vector<fleet::fleet_node> mLive;
     /// Adapters of the engines that other instances hold, by engine.
     std::map<std::string, engines::residency> mRemoteAdapters;
+    /// End of the fleet topic at its last update.
     std::uint64_t mTopicEnd = 0;
     bool mAppendInFlight = false;
     core::time_point mClaimNotBefore;
@@ -105,6 +106,7 @@
     std::optional<core::time_point> mClaimDueAt;
     core::time_point mPollRequestedAt;
     bool mReportedLiveByAll = false;
+    /// Whether the fleet topic was read at least once.
     bool mTopicLoaded = false;
 };
 
--- a/corneltally/peer/connection.cpp
+++ b/corneltally/peer/connection.cpp
@@ -20,6 +20,7 @@
 
 namespace {
 
+/// Disables Nagle's algorithm, which would delay small frames.
 void disableDelay(evutil_socket_t inSocket)
 {
     const int enabled = 1;
@@ -28,6 +29,7 @@
 
 } // namespace
 
+/// Shared with the running callback, since a handler may destroy the connection.
 struct connection::state
 {
     connection *owner = nullptr;
--- a/corneltally/peer/connection.h
+++ b/corneltally/peer/connection.h
@@ -32,7 +32,8 @@
     /// treated as disconnected.
     static constexpr std::size_t sMaxBacklogBytes = 16 * 1024 * 1024;
 
-    /// Opens a connection; onClosed reports a failure.
+    /// Starts to open a connection to an IPv4 address; onClosed reports a failure. Frames may be
+    /// sent at once and wait until the connection is open.
     connection(kernel::event_loop &inLoop, const std::string &inHost, unsigned short inPort);
     /// Takes ownership of an accepted socket.
     connection(kernel::event_loop &inLoop, int inSocket);
--- a/corneltally/routing/routing_table.cpp
+++ b/corneltally/routing/routing_table.cpp
@@ -56,6 +56,7 @@
 {
     const std::string host = lowerCase(withoutPort(inHost));
     std::string_view prefix = pathOf(inTarget);
+    // Shortens the path by one segment at a time, so that the longest prefix is found first.
     while (true) {
         const auto slash = prefix.rfind('/');
         if (slash == std::string_view::npos)
--- a/corneltally/routing/routing_table.h
+++ b/corneltally/routing/routing_table.h
@@ -39,7 +39,9 @@
     const configuration &source() const { return mSource; }
     std::uint64_t version() const { return mSource.version; }
 
-    /// Returns the route of the host with the longest path prefix that matches the target.
+    /// Returns the route of the host with the longest path prefix that matches the target, or null.
+    /// The case and port of the host and the query of the target are ignored. Prefixes end with a
+    /// slash, so "/a/" matches "/a/b" but not "/a".
     const route *findRoute(std::string_view inHost, std::string_view inTarget) const;
     const service *findService(std::string_view inName) const;
     const client_account *findAccountByKey(std::string_view inKey) const;
@@ -51,7 +53,8 @@
 
 private:
     configuration mSource;
-    /// Maps "host prefix", separated by a space, to the index of the route.
+    /// Maps "host prefix", with the host in lower case and separated by a space, to the index of
+    /// the route.
     std::unordered_map<std::string, std::size_t> mRoutes;
     std::map<std::string, std::size_t, std::less<>> mServices;
     std::map<std::string, std::size_t, std::less<>> mAccounts;
--- a/corneltally/settings/snapshot_part.cpp
+++ b/corneltally/settings/snapshot_part.cpp
@@ -59,10 +59,10 @@
     const auto has = [&](const char *inName, json::value_t inType) {
         return body.contains(inName) && body[inName].type() == inType;
     };
-    constexpr auto cNumber = json::value_t::number_unsigned;
+    constexpr auto cUnsigned = json::value_t::number_unsigned;
     constexpr auto cText = json::value_t::string;
-    if (!body.is_object() || !has("offset", cNumber) || !has("part", cNumber)
-        || !has("parts", cNumber) || !has("digest", cText) || !has("data", cText))
+    if (!body.is_object() || !has("offset", cUnsigned) || !has("part", cUnsigned)
+        || !has("parts", cUnsigned) || !has("digest", cText) || !has("data", cText))
         return std::nullopt;
     snapshot_part part{body["offset"], body["part"], body["parts"], body["digest"], body["data"]};
     if (part.count == 0 || part.count > cMaxParts || part.index >= part.count)
--- a/corneltally/settings/snapshot_part.h
+++ b/corneltally/settings/snapshot_part.h
@@ -17,7 +17,9 @@
     /// Offset of the last log record that the snapshot covers, whether or not this record changed
     /// the tree.
     std::uint64_t offset = 0;
+    /// Position among the parts, from 0; "part" in the record.
     std::size_t index = 0;
+    /// Number of parts of the snapshot; "parts" in the record.
     std::size_t count = 1;
     /// SHA-256 of the whole tree's canonical JSON.
     std::string digest;
@@ -29,7 +31,8 @@
     /// Whether a log record is a snapshot part rather than a change.
     static bool sIsSnapshot(std::string_view inRecord);
 
-    /// Parses the output of toRecord(); empty if it is malformed.
+    /// Parses the output of toRecord(). Returns nullopt for any other record, for example a change
+    /// or cSnapshotPlaceholder. Does not check the digest, which covers all parts together.
     static std::optional<snapshot_part> sFromRecord(std::string_view inRecord);
 
     std::string toRecord() const;
